--- a/events/events.go
+++ b/events/events.go
@@ -1,4 +1,4 @@
-// Package events reads streams of server-sent events one whole event at a time.
+// Package events parses streams of server-sent events, one complete event at a time.
 package events
 
 import (
@@ -10,52 +10,55 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxEventBytes bounds one event. A longer one is an error of the sender.
+// MaxEventBytes is the maximum size of one event. A larger one is the sender's error.
 const MaxEventBytes = 1 << 20
 
-// ErrCut says that a stream ended inside an event.
-var ErrCut = errors.New("stream ended inside an event")
+// ErrTruncated reports that a stream ended inside an event.
+var ErrTruncated = errors.New("stream ended inside an event")
 
-// ErrTooLong says that an event is over MaxEventBytes.
-var ErrTooLong = errors.New("event too long")
+// ErrTooLarge reports that an event exceeds MaxEventBytes.
+var ErrTooLarge = errors.New("event exceeds 1 MiB")
 
-// ErrOrder says that an event does not follow the one before it.
-var ErrOrder = errors.New("event out of order")
+// ErrOutOfOrder reports that an event's ID is not the one after the previous event's.
+var ErrOutOfOrder = errors.New("event ID out of sequence")
 
-// Event is one whole event.
+// Event is one complete event.
 type Event struct {
-	ID   uint64 // 0 when the event has none
-	Raw  []byte // all its bytes, with the blank line at its end
-	Data []byte // its data lines, joined by line feeds
-	// Any tells whether it has a data field at all.
+	ID   uint64 // 0 when the event has no ID
+	Raw  []byte // all bytes of the event, including the final blank line
+	Data []byte // values of the data fields, joined by line feeds
+	// Any reports whether the event has a data field, which may be empty.
 	Any bool
 }
 
-// Reader reads events.
+// Reader reads events from a stream and checks that their IDs are consecutive. It is not
+// safe for concurrent use.
 type Reader struct {
-	in   *bufio.Reader
-	last uint64
+	in     *bufio.Reader
+	lastID uint64
 }
 
-// readBufferBytes is the buffer of one stream. Streams are many and an event
-// has some 100 bytes.
+// readBufferBytes is the buffer size of one stream. It is small because many streams are
+// open at a time and an event has about 100 bytes.
 const readBufferBytes = 4096
 
-// NewReader returns a Reader of the events that follow the one with number last.
+// NewReader returns a Reader of a stream that continues after the event with ID last; 0
+// stands for a stream from its start.
 func NewReader(r io.Reader, last uint64) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, readBufferBytes), last: last}
+	return &Reader{in: bufio.NewReaderSize(r, readBufferBytes), lastID: last}
 }
 
-// Next returns the next event; io.EOF when the stream ended between events,
-// ErrCut when it ended inside one, ErrOrder when one is missing or comes twice.
-// Other errors are those of the connection.
+// Next returns the next event. It returns io.EOF when the stream ended between events,
+// ErrTruncated when it ended inside one, ErrTooLarge when an event exceeds MaxEventBytes,
+// and ErrOutOfOrder when an event is missing or repeated. Other errors come from the
+// connection.
 func (r *Reader) Next() (Event, error) {
 	var ev Event
 	for {
 		line, err := r.in.ReadSlice('\n')
 		ev.Raw = append(ev.Raw, line...)
 		if len(ev.Raw) > MaxEventBytes {
-			return ev, ErrTooLong
+			return ev, ErrTooLarge
 		}
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
@@ -65,15 +68,15 @@
 			}
 			line = append(bytes.Clone(line), rest...)
 		case errors.Is(err, io.EOF) && len(ev.Raw) > 0:
-			return ev, ErrCut
+			return ev, ErrTruncated
 		case err != nil:
 			return ev, err
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		if len(line) == 0 {
-			return ev, r.follow(&ev)
+			return ev, r.checkSequence(&ev)
 		}
-		ev.field(line)
+		ev.parseField(line)
 	}
 }
 
@@ -81,24 +84,24 @@
 	rest, err := r.in.ReadBytes('\n')
 	ev.Raw = append(ev.Raw, rest...)
 	if errors.Is(err, io.EOF) {
-		return nil, ErrCut
+		return nil, ErrTruncated
 	}
 	return rest, err
 }
 
-// follow checks that an event's number is the next one.
-func (r *Reader) follow(ev *Event) error {
+// checkSequence checks that an event's ID is the next one. Events without an ID pass.
+func (r *Reader) checkSequence(ev *Event) error {
 	if ev.ID == 0 {
 		return nil
 	}
-	if ev.ID != r.last+1 {
-		return ErrOrder
+	if ev.ID != r.lastID+1 {
+		return ErrOutOfOrder
 	}
-	r.last = ev.ID
+	r.lastID = ev.ID
 	return nil
 }
 
-func (ev *Event) field(line []byte) {
+func (ev *Event) parseField(line []byte) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
@@ -115,7 +118,7 @@
 	}
 }
 
-// Last returns the number of the last whole event.
+// Last returns the ID of the last complete event that had one.
 func (r *Reader) Last() uint64 {
-	return r.last
+	return r.lastID
 }
--- a/events/events_test.go
+++ b/events/events_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestWholeEventsInOrder(t *testing.T) {
+func TestReadsCompleteEventsInOrder(t *testing.T) {
 	in := "id: 1\ndata: a\n\nx-version: 3\nid: 2\ndata: b\ndata: c\n\n: comment\n\n"
 	raw, data, n, err := readAll(iotest.OneByteReader(strings.NewReader(in)), 0)
 	if !errors.Is(err, io.EOF) || n != 3 || string(raw) != in || string(data) != "a|b\nc|" {
@@ -35,12 +35,11 @@
 	}
 }
 
-// Symptom: a text with a hole, or with a part twice.
-// Sequence: a stream breaks and goes on elsewhere, which starts at another event.
-// Cause: the numbers of events were not compared.
-func TestAMissingOrRepeatedEventIsAnError(t *testing.T) {
+// A stream that breaks and is resumed at another target may continue from the wrong event.
+// Unless event IDs are compared, the caller gets a text with a gap or a repeated part.
+func TestRejectsMissingOrRepeatedEvent(t *testing.T) {
 	for _, in := range []string{"id: 5\ndata: x\n\n", "id: 3\ndata: x\n\n"} {
-		if _, _, _, err := readAll(strings.NewReader(in), 3); !errors.Is(err, events.ErrOrder) {
+		if _, _, _, err := readAll(strings.NewReader(in), 3); !errors.Is(err, events.ErrOutOfOrder) {
 			t.Errorf("after event 3, %q: %v", in, err)
 		}
 	}
@@ -49,42 +48,40 @@
 	}
 }
 
-// Symptom: half an event reaches a caller.
-// Cause: what came before the connection ended was passed on.
-func TestAStreamCutInsideAnEventIsNotItsEnd(t *testing.T) {
+// A partial event must not reach a caller when the connection ends inside it.
+func TestTruncatedEventIsNotEndOfStream(t *testing.T) {
 	in := "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
 	for cut := 1; cut < len(in); cut++ {
 		raw, _, _, err := readAll(strings.NewReader(in[:cut]), 0)
-		whole := cut == len("id: 1\ndata: a\n\n")
-		if errors.Is(err, io.EOF) != whole {
+		complete := cut == len("id: 1\ndata: a\n\n")
+		if errors.Is(err, io.EOF) != complete {
 			t.Errorf("cut after %d bytes: %v", cut, err)
 		}
 		if !strings.HasSuffix("\n\n"+string(raw), "\n\n") {
-			t.Errorf("cut after %d bytes: passed on %q", cut, raw)
+			t.Errorf("cut after %d bytes: returned %q", cut, raw)
 		}
 	}
 }
 
-func TestLongLinesAndTooLongEvents(t *testing.T) {
+func TestReadsLongLinesAndRejectsTooLargeEvents(t *testing.T) {
 	long := "id: 1\ndata: " + strings.Repeat("x", 100<<10) + "\n\n"
 	if raw, _, n, err := readAll(strings.NewReader(long), 0); n != 1 || string(raw) != long || !errors.Is(err, io.EOF) {
 		t.Fatalf("%d events of %d bytes, %v", n, len(raw), err)
 	}
 	endless := io.MultiReader(strings.NewReader("data: "), bytes.NewReader(bytes.Repeat([]byte("y\n"), events.MaxEventBytes)))
-	if _, _, _, err := readAll(endless, 0); !errors.Is(err, events.ErrTooLong) {
+	if _, _, _, err := readAll(endless, 0); !errors.Is(err, events.ErrTooLarge) {
 		t.Fatalf("endless event: %v", err)
 	}
 }
 
-// Whatever a target sends, the bytes passed on are a prefix of it that ends
-// between events.
-func FuzzPassedOnIsAPrefix(f *testing.F) {
+// Whatever a target sends, the returned bytes are a prefix of it that ends between events.
+func FuzzReturnedBytesArePrefix(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\n\n"))
 	f.Add([]byte("\r\n\r\nid: 99999999999999999999\n\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		raw, _, _, err := readAll(bytes.NewReader(in), 0)
 		if err == nil || !bytes.HasPrefix(in, raw) {
-			t.Fatalf("passed on %q of %q, %v", raw, in, err)
+			t.Fatalf("returned %q of %q, %v", raw, in, err)
 		}
 	})
 }
