--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -1,5 +1,5 @@
-// Package exchange declares how an opaque request is carried out at a target:
-// the request, what came of it, and the port through which it is sent.
+// Package exchange defines how an opaque request is executed at a target: the request, its
+// outcome, and the interfaces through which it is sent.
 package exchange
 
 import (
@@ -13,82 +13,83 @@
 	"pumiceford/targets"
 )
 
-// Call is one request for a target. Its fields do not change once it is sent.
+// Call is one request to a target. It must not be modified once it is sent.
 type Call struct {
 	ID       string
 	Method   string
-	Host     string // as the caller named it; decides the route
-	URI      string // path and query, escaped as they came
+	Host     string // as sent by the caller; decides the route
+	URI      string // path and query, escaped as received
 	Header   http.Header
 	Body     []byte
-	Deadline time.Time // the target stops work then; zero for none
-	After    uint64    // resume a stream after this event; 0 for from the start
-	Tokens   int       // of the prompt and the most that comes out; 0 when not told
-	Reserved string    // slot that was reserved at the target; "" for none
-	// Workspace is the one that the call is for, "" for none. The target is told of it.
+	Deadline time.Time // the target stops work at this time; zero for none
+	After    uint64    // ID of the event after which a stream resumes; 0 for its start
+	Tokens   int       // prompt tokens plus the maximum of output tokens; 0 when unknown
+	Reserved string    // name of the slot reserved at the target; "" for none
+	// Workspace is the workspace that the call belongs to, "" for none. It is sent to the
+	// target.
 	Workspace string
 }
 
-// Outcome says what became of a call that was answered.
+// Outcome is the result of a call that got a response.
 type Outcome int
 
 // The outcomes.
 const (
-	// Done: the target ran the call and this is its answer.
+	// Done: the target ran the call and this is its response.
 	Done Outcome = iota
-	// Failed: the target ran the call and says that it failed.
+	// Failed: the target ran the call and reports a failure.
 	Failed
-	// NotRun: the target says that it did not and will not run the call.
+	// NotRun: the target reports that it did not and will not run the call.
 	NotRun
-	// OtherInstance: another instance has the address. The call was not run.
+	// OtherInstance: another instance now has the address. The call was not run.
 	OtherInstance
 )
 
-// Answer is what a target answered.
+// Answer is a target's reply to a call. Whoever receives it closes Body.
 type Answer struct {
 	Outcome Outcome
 	Status  int
-	Header  http.Header // for the caller; without what concerns one connection
+	Header  http.Header // end-to-end headers only, without hop-by-hop ones
 	Body    io.ReadCloser
-	Length  int64 // of the body, -1 when not told
-	Events  bool  // the body is a stream of events
+	Length  int64 // of the body in bytes, -1 when unknown
+	Events  bool  // whether the body is an event stream
 }
 
 // Sender sends calls to targets.
 type Sender interface {
-	// Send sends a call to one instance and returns the start of its answer. The
-	// body is read from the connection; closing it early makes the target drop
-	// the call. Any error is a *SendError.
+	// Send sends a call to one instance and returns when the response header has arrived.
+	// The body is read from the connection; closing it early makes the target cancel the
+	// call. Any error is a *SendError.
 	Send(ctx context.Context, to targets.Instance, call *Call) (*Answer, error)
 }
 
-// ErrFull says that a target has no slot to reserve.
+// ErrFull reports that a target has no free slot to reserve.
 var ErrFull = errors.New("target has no free slot")
 
 // Reserver reserves slots at targets.
 type Reserver interface {
-	// Reserve reserves a slot for a request of so many tokens and returns its name. It
-	// fails with ErrFull when the target has none free. A slot that is not used comes
-	// free after keep.
+	// Reserve reserves a slot for a request of the given number of tokens and returns the
+	// slot's name. It returns ErrFull when the target has no free slot. A reserved slot
+	// that is not used is released after keep.
 	Reserve(ctx context.Context, at targets.Instance, tokens int, keep time.Duration) (string, error)
 }
 
-// Fault names what went wrong with a call that has no usable answer.
+// Fault classifies why a call has no usable response.
 type Fault string
 
 // The faults.
 const (
-	FaultConnect  Fault = "connect"  // no connection to the target
-	FaultBroken   Fault = "broken"   // the connection ended before the answer
-	FaultSpoiled  Fault = "spoiled"  // what came is no answer to this call
-	FaultCanceled Fault = "canceled" // the caller gave up
+	FaultConnect  Fault = "connect"  // no connection to the target was established
+	FaultBroken   Fault = "broken"   // the connection ended before the response
+	FaultSpoiled  Fault = "spoiled"  // the data received is not a valid response to this call
+	FaultCanceled Fault = "canceled" // the call's context ended
 )
 
-// SendError says that a call has no usable answer.
+// SendError reports that a call has no usable response.
 type SendError struct {
 	Fault Fault
-	// Sent tells whether any of the call may have reached the target. When
-	// false, it was not run and never will be.
+	// Sent reports whether any part of the call may have reached the target. When false,
+	// the call was not run and never will be.
 	Sent  bool
 	Cause error
 }
@@ -98,7 +99,7 @@
 	return "target: " + string(e.Fault) + ": " + e.Cause.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns e.Cause.
 func (e *SendError) Unwrap() error {
 	return e.Cause
 }
