--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -16,58 +16,59 @@
 	"pumiceford/targets"
 )
 
-// wholeBytes is up to which size an answer that is no stream is read whole
-// before any of it is sent, so that a broken one can be asked for again.
-const wholeBytes = 1 << 20
+// maxBufferedBodyBytes is the size below which a response that is not an event stream is
+// read in full before any of it is sent to the caller. If the target fails meanwhile, the
+// request can still be retried elsewhere.
+const maxBufferedBodyBytes = 1 << 20
 
-// watch looks at a send whose target keeps it waiting, and ends it when the
-// request is better off elsewhere.
-type watch struct {
-	wait  time.Duration // until the first look
-	every time.Duration // between the looks after it
-	look  func() bool   // reports whether to end the send
-	end   context.CancelFunc
+// watchdog polls a condition while a send waits for its target, and cancels the send when
+// the condition holds. It is safe for concurrent use; mu is not held during shouldCancel.
+type watchdog struct {
+	initial      time.Duration // until the first check
+	interval     time.Duration // between later checks
+	shouldCancel func() bool   // reports whether to cancel the send
+	cancel       context.CancelFunc
 
 	mu      sync.Mutex
 	timer   *time.Timer
 	stopped bool
-	fired   bool // the send was ended
+	fired   bool // the send was cancelled
 }
 
-func newWatch(wait, every time.Duration, end context.CancelFunc, look func() bool) *watch {
-	w := &watch{wait: wait, every: every, look: look, end: end}
+func newWatchdog(initial, interval time.Duration, cancel context.CancelFunc, shouldCancel func() bool) *watchdog {
+	w := &watchdog{initial: initial, interval: interval, shouldCancel: shouldCancel, cancel: cancel}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(wait, w.check)
+	w.timer = time.AfterFunc(initial, w.check)
 	return w
 }
 
-func (w *watch) check() {
-	end := w.look()
+func (w *watchdog) check() {
+	expired := w.shouldCancel()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.stopped {
 		return
 	}
-	if end {
+	if expired {
 		w.fired = true
-		w.end()
+		w.cancel()
 		return
 	}
-	w.timer.Reset(w.every)
+	w.timer.Reset(w.interval)
 }
 
-// alive starts the wait anew.
-func (w *watch) alive() {
+// reset restarts the wait before the first check.
+func (w *watchdog) reset() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.stopped && !w.fired {
-		w.timer.Reset(w.wait)
+		w.timer.Reset(w.initial)
 	}
 }
 
-// stop ends the watch. It reports whether the send was ended by it.
-func (w *watch) stop() bool {
+// stop stops the watchdog. It reports whether the watchdog cancelled the send.
+func (w *watchdog) stop() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stopped = true
@@ -75,244 +76,249 @@
 	return w.fired
 }
 
-// outcomeServed is the outcome of a request whose whole answer was passed on.
+// outcomeServed is the outcome of a request whose response was relayed to its end.
 const outcomeServed = "served"
 
-// afterError decides what to do when a send has no usable answer.
-func (s *serving) afterError(in targets.Instance, err error) step {
+// handleSendError decides what to do after a send without a usable response.
+func (s *requestState) handleSendError(in targets.Instance, err error) step {
 	var se *exchange.SendError
 	if !errors.As(err, &se) {
 		se = &exchange.SendError{Fault: exchange.FaultBroken, Sent: true, Cause: err}
 	}
 	if s.ctx.Err() != nil {
-		// The caller left or the time is over; that says nothing of the target.
-		s.giveUp(TimedOut, 0)
+		// The caller disconnected or the deadline passed; neither says anything about the
+		// target.
+		s.fail(TimedOut, 0)
 		return finished
 	}
 	switch se.Fault {
 	case exchange.FaultConnect:
-		s.judge(in, balance.Unfit, "connect")
+		s.updateHealth(in, balance.Unfit, "connect")
 	case exchange.FaultBroken, exchange.FaultSpoiled:
-		s.judge(in, balance.Doubted, string(se.Fault))
+		s.updateHealth(in, balance.Doubted, string(se.Fault))
 		if se.Sent && se.Fault == exchange.FaultBroken {
-			s.broke(in)
+			s.reportBrokenRun(in)
 		}
 	case exchange.FaultCanceled:
 	}
 	s.tried[in.ID] = true
 	if !se.Sent {
-		s.runs--
+		s.possibleRuns--
 		if s.sends < maxSends {
-			s.note("sent elsewhere; it never reached the target", in, "error", err.Error())
-			return again
+			s.logRetry("sent elsewhere; it never reached the target", in, "error", err.Error())
+			return tryNext
 		}
-		s.giveUp(NoTarget, retryNone)
+		s.fail(NoTarget, retryAfterUnavailable)
 		return finished
 	}
-	if s.mayMove() {
-		s.note("sent again; its answer is lost", in, "error", err.Error())
-		return again
+	if s.mayRetry() {
+		s.logRetry("sent again; its answer is lost", in, "error", err.Error())
+		return tryNext
 	}
-	s.giveUp(Lost, 0)
+	s.fail(Lost, 0)
 	return finished
 }
 
-// afterNotRun decides what to do when a target did not run the request.
-func (s *serving) afterNotRun(in targets.Instance, ans *exchange.Answer) step {
-	s.runs--
+// handleNotRun decides what to do after a target reported that it did not run the request.
+func (s *requestState) handleNotRun(in targets.Instance, ans *exchange.Answer) step {
+	s.possibleRuns--
 	s.tried[in.ID] = true
-	why := "full"
+	reason := "full"
 	if ans.Outcome == exchange.OtherInstance {
-		why = "other_instance"
+		reason = "other_instance"
 		s.g.view.Supersede(in.ID)
 	}
 	if s.sends < maxSends {
-		s.note("sent elsewhere; the target did not run it", in, "why", why)
-		return again
+		s.logRetry("sent elsewhere; the target did not run it", in, "why", reason)
+		return tryNext
 	}
-	s.giveUp(Overload, s.retryAfter())
+	s.fail(Overload, s.retryAfter())
 	return finished
 }
 
-// whole passes on an answer that is no stream of events.
-func (s *serving) whole(ans *exchange.Answer, c balance.Choice) step {
-	body, err := io.ReadAll(io.LimitReader(ans.Body, wholeBytes))
+// relayBody relays a response that is not an event stream.
+func (s *requestState) relayBody(ans *exchange.Answer, c balance.Choice) step {
+	body, err := io.ReadAll(io.LimitReader(ans.Body, maxBufferedBodyBytes))
 	if err != nil {
-		return s.afterError(c.Instance, &exchange.SendError{Fault: exchange.FaultBroken, Sent: true, Cause: err})
+		return s.handleSendError(c.Instance, &exchange.SendError{Fault: exchange.FaultBroken, Sent: true, Cause: err})
 	}
-	s.firstAt = time.Now()
-	if len(body) < wholeBytes {
-		s.judge(c.Instance, balance.Sound, "")
+	s.firstResponseAt = time.Now()
+	if len(body) < maxBufferedBodyBytes {
+		s.updateHealth(c.Instance, balance.Sound, "")
 		s.caller.Start(ans.Status, ans.Header, int64(len(body)))
 		s.outcome = outcomeServed
 		if s.caller.Write(body) != nil {
-			s.left()
+			s.callerDisconnected()
 		}
 		return finished
 	}
-	s.started = true
+	s.headerSent = true
 	s.caller.Start(ans.Status, ans.Header, ans.Length)
 	if s.caller.Write(body) != nil {
-		s.left()
+		s.callerDisconnected()
 		return finished
 	}
-	if _, err := io.Copy(writer{s.caller}, ans.Body); err != nil {
-		s.cut("broken")
+	if _, err := io.Copy(callerWriter{s.caller}, ans.Body); err != nil {
+		s.abortResponse("broken")
 		return finished
 	}
 	s.outcome = outcomeServed
 	return finished
 }
 
-type writer struct{ c Caller }
+type callerWriter struct{ caller Caller }
 
 // Write implements io.Writer.
-func (w writer) Write(p []byte) (int, error) {
-	if err := w.c.Write(p); err != nil {
+func (w callerWriter) Write(p []byte) (int, error) {
+	if err := w.caller.Write(p); err != nil {
 		return 0, err
 	}
 	return len(p), nil
 }
 
-// stream passes on a stream of events from its first one. Header and status go
-// out with the first whole event: until then another target may start anew.
-func (s *serving) stream(ans *exchange.Answer, c balance.Choice, cancel context.CancelFunc) step {
-	return s.events(ans, c, cancel, func() {
-		s.firstAt = time.Now()
-		s.started = true
+// relayStream relays an event stream from its start. Status and header are sent with the
+// first complete event: until then another target can still serve the whole stream.
+func (s *requestState) relayStream(ans *exchange.Answer, c balance.Choice, cancel context.CancelFunc) step {
+	return s.relayEvents(ans, c, cancel, func() {
+		s.firstResponseAt = time.Now()
+		s.headerSent = true
 		s.caller.Start(ans.Status, ans.Header, -1)
 	})
 }
 
-// resume goes on with a stream that another target began.
-func (s *serving) resume(ans *exchange.Answer, c balance.Choice, cancel context.CancelFunc) step {
+// resumeStream continues a stream that another target started.
+func (s *requestState) resumeStream(ans *exchange.Answer, c balance.Choice, cancel context.CancelFunc) step {
 	if !ans.Events || ans.Outcome != exchange.Done {
-		return s.broken(c.Instance, false, errNoStream)
+		return s.handleBrokenStream(c.Instance, false, errNotEventStream)
 	}
-	return s.events(ans, c, cancel, func() {})
+	return s.relayEvents(ans, c, cancel, func() {})
 }
 
-// errNoStream says that a target answered with something else than the rest of
-// a stream.
-var errNoStream = errors.New("answer is no stream of events")
+// errNotEventStream reports that the response to a resumed request is not the rest of its
+// stream.
+var errNotEventStream = errors.New("response is not an event stream")
 
-// errEmpty says that a stream ended before its first event.
-var errEmpty = errors.New("stream without events")
+// errEmptyStream reports that a stream ended before its first event.
+var errEmptyStream = errors.New("event stream ended before its first event")
 
-func (s *serving) events(ans *exchange.Answer, c balance.Choice, cancel context.CancelFunc, first func()) step {
+// relayEvents relays events until the stream ends. It calls onFirst before it relays the first
+// event, unless the header has already been sent.
+func (s *requestState) relayEvents(ans *exchange.Answer, c balance.Choice, cancel context.CancelFunc, onFirst func()) step {
 	in := c.Instance
-	silent := newWatch(s.gapWait(), s.gapWait(), cancel, func() bool {
-		s.silent(in)
-		return s.mayMove()
+	gapWatchdog := newWatchdog(s.gapTimeout(), s.gapTimeout(), cancel, func() bool {
+		s.handleSilence(in)
+		return s.mayRetry()
 	})
-	defer silent.stop()
-	rd := events.NewReader(ans.Body, max(s.last, s.req.After))
+	defer gapWatchdog.stop()
+	rd := events.NewReader(ans.Body, max(s.lastEvent, s.req.After))
 	began := false
 	for {
 		ev, err := rd.Next()
 		if errors.Is(err, io.EOF) && began {
-			s.judge(in, balance.Sound, "")
+			s.updateHealth(in, balance.Sound, "")
 			s.outcome = outcomeServed
 			return finished
 		}
 		if errors.Is(err, io.EOF) {
-			err = errEmpty
+			err = errEmptyStream
 		}
 		if err != nil {
-			return s.broken(in, silent.stop(), err)
+			return s.handleBrokenStream(in, gapWatchdog.stop(), err)
 		}
-		silent.alive()
+		gapWatchdog.reset()
 		if !began {
 			began = true
-			if !s.started {
-				first()
+			if !s.headerSent {
+				onFirst()
 			}
 		}
 		if s.caller.Write(ev.Raw) != nil {
-			s.left()
+			s.callerDisconnected()
 			return finished
 		}
-		s.last = max(s.last, ev.ID)
-		s.got++
+		s.lastEvent = max(s.lastEvent, ev.ID)
+		s.attemptEvents++
 	}
 }
 
-// broken decides what to do when a stream ended before its end.
-func (s *serving) broken(in targets.Instance, silent bool, err error) step {
+// handleBrokenStream decides what to do when a stream broke off. When silent is true, the
+// watchdog ended the stream, and handleSilence has already dealt with the target.
+func (s *requestState) handleBrokenStream(in targets.Instance, silent bool, err error) step {
 	if s.ctx.Err() != nil {
-		s.giveUp(TimedOut, 0)
+		s.fail(TimedOut, 0)
 		return finished
 	}
 	if !silent {
-		s.judge(in, balance.Doubted, "cut")
-		s.broke(in)
+		s.updateHealth(in, balance.Doubted, "cut")
+		s.reportBrokenRun(in)
 	}
 	s.tried[in.ID] = true
-	if s.mayMove() {
-		s.note("stream goes on elsewhere", in, "error", err.Error())
-		return again
+	if s.mayRetry() {
+		s.logRetry("stream goes on elsewhere", in, "error", err.Error())
+		return tryNext
 	}
-	s.giveUp(Lost, 0)
+	s.fail(Lost, 0)
 	return finished
 }
 
-// broke notes that a connection ended while the target had the request.
-func (s *serving) broke(in targets.Instance) {
+// reportBrokenRun reports to the quarantine that a connection ended while the target had
+// the request.
+func (s *requestState) reportBrokenRun(in targets.Instance) {
 	s.g.quarantine.Broke(s.ctx, quarantine.Run{
-		Key: s.req.Key, Request: s.req.ID, Target: in, Events: s.got, Took: time.Since(s.sentAt),
+		Key: s.req.Key, Request: s.req.ID, Target: in, Events: s.attemptEvents, Took: time.Since(s.sentAt),
 	})
 }
 
-// giveUp ends a request without its answer: by a refusal, or by cutting the
-// connection when the answer has begun.
-func (s *serving) giveUp(why Reason, retry time.Duration) {
+// fail ends a request without a complete response: by a refusal, or by aborting the
+// connection when the response has already started.
+func (s *requestState) fail(reason Reason, retry time.Duration) {
 	if errors.Is(context.Cause(s.ctx), context.Canceled) {
-		s.left()
+		s.callerDisconnected()
 		return
 	}
-	if s.started {
-		s.cut(string(why))
+	if s.headerSent {
+		s.abortResponse(string(reason))
 		return
 	}
-	s.outcome = string(why)
-	s.caller.Refuse(Refusal{Reason: why, NotRun: s.runs == 0, RetryAfter: retry})
+	s.outcome = string(reason)
+	s.caller.Refuse(Refusal{Reason: reason, NotRun: s.possibleRuns == 0, RetryAfter: retry})
 }
 
-// left ends a request whose caller has gone. Its connection is cut: a handler that
-// ends without a word is answered by the library with an empty success, and a
-// caller that has only closed its sending half would take it for one.
-func (s *serving) left() {
+// callerDisconnected ends a request whose caller has disconnected. It aborts the connection:
+// when a handler returns without writing, the HTTP library sends an empty success, which a
+// caller that has only closed its sending half would take for the response.
+func (s *requestState) callerDisconnected() {
 	s.outcome = "caller_left"
 	s.caller.Abort()
 }
 
-func (s *serving) cut(why string) {
-	s.outcome = "cut_" + why
+func (s *requestState) abortResponse(reason string) {
+	s.outcome = "cut_" + reason
 	s.caller.Abort()
 }
 
-// report logs and counts what became of the request.
-func (s *serving) report() {
+// report logs the outcome of the request and records its metrics.
+func (s *requestState) report() {
 	m := s.g.metrics
 	m.Count("online_" + s.outcome)
 	if s.outcome == outcomeServed {
 		s.g.quarantine.Served(s.req.Key)
 	}
 	now := time.Now()
-	s.noteHeld(now)
+	s.observeHoldTime(now)
 	m.Observe("online", s.route.Name, now.Sub(s.req.Arrived))
 	if s.req.Workspace != "" {
 		m.Observe("online_by_workspace", s.req.Workspace, now.Sub(s.req.Arrived))
 	}
-	first := int64(-1)
-	if !s.firstAt.IsZero() {
-		d := s.firstAt.Sub(s.req.Arrived)
-		first = d.Milliseconds()
+	firstMs := int64(-1)
+	if !s.firstResponseAt.IsZero() {
+		d := s.firstResponseAt.Sub(s.req.Arrived)
+		firstMs = d.Milliseconds()
 		m.Observe("online_first", s.route.Name, d)
 	}
 	s.g.log.Info("request ended",
 		logging.F("request", s.req.ID), logging.F("key", s.req.Key.String()), logging.F("route", s.route.Name), logging.F("outcome", s.outcome),
-		logging.F("workspace", s.req.Workspace), logging.F("instance", s.instance), logging.F("sends", s.sends), logging.F("events", s.last),
-		logging.F("returning", s.returning), logging.F("first_ms", first), logging.F("aim_ms", s.route.FirstWithin.Milliseconds()), logging.F("took_ms", now.Sub(s.req.Arrived).Milliseconds()),
+		logging.F("workspace", s.req.Workspace), logging.F("instance", s.instance), logging.F("sends", s.sends), logging.F("events", s.lastEvent),
+		logging.F("returning", s.isRetry), logging.F("first_ms", firstMs), logging.F("aim_ms", s.route.FirstWithin.Milliseconds()), logging.F("took_ms", now.Sub(s.req.Arrived).Milliseconds()),
 		logging.F("load", s.choice.Load), logging.F("waiting", s.choice.Waiting), logging.F("among", s.choice.Among))
 }
--- a/gateway/denied.go
+++ b/gateway/denied.go
@@ -11,14 +11,14 @@
 	"pumiceford/ratelimit"
 )
 
-// overSpread is the time over which those that are over a limit are told to come back, so
-// that they do not come at once.
-const overSpread = 500 * time.Millisecond
+// overLimitJitter bounds the random delay that is added to the retry-after of callers over a
+// limit, so that they do not all return at once.
+const overLimitJitter = 500 * time.Millisecond
 
-// Denied returns the answer to a request whose sender is not known or may not send it now,
-// and tells why. Nothing of its key is told.
+// Denied returns the refusal of a request whose sender is unknown or may not send it now,
+// and logs the reason. It reveals nothing about the sender's key.
 func (g *Gateway) Denied(id string, err error) Refusal {
-	r := Refusal{Reason: NotReady, NotRun: true, RetryAfter: retryNone}
+	r := Refusal{Reason: NotReady, NotRun: true, RetryAfter: retryAfterUnavailable}
 	var stale *access.StaleError
 	var over *ratelimit.OverError
 	var ungranted *ratelimit.UngrantedError
@@ -28,7 +28,7 @@
 	case errors.Is(err, access.ErrUnknownKey):
 		r.Reason, r.RetryAfter = UnknownKey, 0
 	case errors.As(err, &over):
-		r.Reason, r.RetryAfter = OverLimit, over.ComeBack+rand.N(overSpread)
+		r.Reason, r.RetryAfter = OverLimit, over.ComeBack+rand.N(overLimitJitter)
 	case errors.As(err, &ungranted):
 		r.Reason, r.RetryAfter = LimitUnknown, ungranted.ComeBack()
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,6 +1,5 @@
-// Package gateway serves opaque requests: it finds the route, chooses a target,
-// sends the request there, and goes on elsewhere as far as the route's rules
-// allow when a target fails.
+// Package gateway serves opaque requests: it matches the route, chooses a target, sends the
+// request there, and fails over to other targets as far as the route's rules allow.
 package gateway
 
 import (
@@ -19,95 +18,97 @@
 	"pumiceford/targets"
 )
 
-// Caller is the way back to whoever sent a request.
+// Caller writes the response to the client that sent a request.
 type Caller interface {
-	// Start sends status and header. A length of -1 means that it is not known.
+	// Start sends status and header. The length of the body is in bytes, -1 when unknown.
 	Start(status int, header http.Header, length int64)
-	// Write sends a part of the body at once.
+	// Write sends a part of the body and flushes it.
 	Write(p []byte) error
-	// Abort cuts the connection, so that a started answer does not look whole.
+	// Abort closes the connection, so that a response that has started does not look
+	// complete.
 	Abort()
-	// Refuse answers a request that is given up.
+	// Refuse sends the refusal of a request.
 	Refuse(r Refusal)
 }
 
-// Reason says why a request is given up.
+// Reason is why a request is refused or failed.
 type Reason string
 
 // The reasons.
 const (
 	NoRoute        Reason = "no_route"         // no route has the host and path
-	NotReady       Reason = "not_ready"        // no catalog is known yet
-	NoTarget       Reason = "no_target"        // no target of the service may get it
-	Overload       Reason = "overload"         // it would wait longer than is useful
-	Lost           Reason = "lost"             // a target may have run it; its answer is lost
-	TimedOut       Reason = "timed_out"        // the time for it is over
-	Malformed      Reason = "malformed"        // the request makes no sense
-	TooLarge       Reason = "too_large"        // its body is over the limit
-	HeaderTooLarge Reason = "header_too_large" // its header is
-	Unsure         Reason = "unsure"           // the shared store does not answer
+	NotReady       Reason = "not_ready"        // no catalog has been loaded yet
+	NoTarget       Reason = "no_target"        // no target of the service is usable
+	Overload       Reason = "overload"         // no target can serve it within a useful time
+	Lost           Reason = "lost"             // a target may have run it, but the response is lost
+	TimedOut       Reason = "timed_out"        // its deadline passed
+	Malformed      Reason = "malformed"        // the request cannot be parsed
+	TooLarge       Reason = "too_large"        // its body exceeds the limit
+	HeaderTooLarge Reason = "header_too_large" // its header exceeds the limit
+	Unsure         Reason = "unsure"           // the shared store does not respond
 	Unknown        Reason = "unknown"          // there is no such job
-	Conflict       Reason = "conflict"         // another job has the id
-	Quarantined    Reason = "quarantined"      // targets crash under it
+	Conflict       Reason = "conflict"         // another job has the same ID
+	Quarantined    Reason = "quarantined"      // it crashes the targets that run it
 
-	UnknownKey         Reason = "unknown_key"         // no workspace has its key
-	StaleConfiguration Reason = "stale_configuration" // whether its key still holds is not known
-	OverLimit          Reason = "over_limit"          // its workspace has had its share
-	LimitUnknown       Reason = "limit_unknown"       // nobody tells what is left of its workspace's share
+	UnknownKey         Reason = "unknown_key"         // its key belongs to no workspace
+	StaleConfiguration Reason = "stale_configuration" // it cannot be told whether its key is still valid
+	OverLimit          Reason = "over_limit"          // its workspace exceeds its rate limit
+	LimitUnknown       Reason = "limit_unknown"       // no process grants requests of its workspace
 )
 
-// Refusal is the final answer to a request that is given up.
+// Refusal is the final response to a request that is refused or failed.
 type Refusal struct {
 	Reason Reason
 	// NotRun promises that the request was not run and never will be.
 	NotRun bool
-	// RetryAfter says when it is worth coming back, 0 when it is not.
+	// RetryAfter is how long the caller should wait before a retry, 0 when none is suggested.
 	RetryAfter time.Duration
 }
 
-// Limits of serving.
+// Limits and timeouts of serving.
 const (
-	// maxSends bounds the targets asked for one request when they say that they
-	// did not run it.
+	// maxSends bounds how often one request is sent, including to targets that report
+	// that they did not run it.
 	maxSends = 4
-	// startWait is how long after its start a process holds requests until it
-	// knows catalog and targets.
-	startWait = 250 * time.Millisecond
-	// retryNone is when to come back while no target is known: a new one
+	// startupGrace is how long after its start a process holds requests while it loads
+	// the catalog and the targets.
+	startupGrace = 250 * time.Millisecond
+	// retryAfterUnavailable is the retry-after while no target is known: a new one
 	// registers within about a second.
-	retryNone = 500 * time.Millisecond
-	// queuedAfter is when a request without an answer is taken to wait for a slot:
-	// three times what a target with a free one takes. lookEvery is left between
-	// looks for a free slot elsewhere.
-	queuedAfter = 100 * time.Millisecond
-	lookEvery   = 30 * time.Millisecond
-	// firstShare is the part of the aim for a first event after which a target
-	// with a free slot counts as silent. What is left is enough for another one,
-	// which begins at once.
-	firstShare = 0.7
-	// perWaiting is added to that for each request known to wait there.
-	perWaiting = 120 * time.Millisecond
-	// gapShare is the part of the aim for pauses after which a stream counts as
-	// silent. Engines that are merely slow pause for less.
-	gapShare = 0.6
-	// silentMost is the wait for a first answer where no aim is set.
-	silentMost = 2 * time.Second
+	retryAfterUnavailable = 500 * time.Millisecond
+	// queuedThreshold is how long a request goes without a response before it counts as
+	// queued: three times what a target with a free slot takes. queuePollInterval is the
+	// pause between checks for a free slot elsewhere.
+	queuedThreshold   = 100 * time.Millisecond
+	queuePollInterval = 30 * time.Millisecond
+	// firstEventShare is the fraction of the route's objective for the first event after
+	// which a target with a free slot counts as silent. The rest suffices for another
+	// target that starts at once.
+	firstEventShare = 0.7
+	// timeoutPerWaiting extends that timeout for each request known to wait at the target.
+	timeoutPerWaiting = 120 * time.Millisecond
+	// eventGapShare is the fraction of the route's objective for the gap between events
+	// after which a stream counts as silent. Engines that are merely slow pause for less.
+	eventGapShare = 0.6
+	// defaultSilenceTimeout applies to the first event and to gaps where the route sets
+	// no objective.
+	defaultSilenceTimeout = 2 * time.Second
 )
 
 // Request is one request of a caller.
 type Request struct {
 	exchange.Call
-	Arrived time.Time
-	Key     quarantine.Key // the same for each attempt at it
+	Arrived time.Time      // before the body was read
+	Key     quarantine.Key // the same for each attempt of the caller
 }
 
-// Witness passes failures of targets on to others.
+// Witness notifies other processes of target failures.
 type Witness interface {
-	// Tell tells that a request failed at an instance. It does not block.
+	// Tell reports that a request failed at an instance. It does not block.
 	Tell(instance string)
 }
 
-// Config says what a Gateway works with.
+// Config holds the dependencies of a Gateway.
 type Config struct {
 	View       *fleet.View
 	Sender     exchange.Sender
@@ -118,30 +119,30 @@
 	Metrics    *metrics.Set
 }
 
-// Gateway serves requests.
+// Gateway serves requests. Its methods are safe for concurrent use.
 type Gateway struct {
 	view       *fleet.View
 	sender     exchange.Sender
-	reserve    exchange.Reserver
-	witness    Witness
+	reserver   exchange.Reserver
+	notifier   Witness
 	quarantine *quarantine.Keeper
 	log        logging.Logger
 	metrics    *metrics.Set
 	started    time.Time
-	budgets    *budgets
+	timeouts   *timeoutTracker
 }
 
 // New returns a Gateway.
 func New(cfg Config) *Gateway {
 	return &Gateway{
-		view: cfg.View, sender: cfg.Sender, reserve: cfg.Reserver, witness: cfg.Witness, quarantine: cfg.Quarantine,
-		log: cfg.Log, metrics: cfg.Metrics, started: time.Now(), budgets: newBudgets(),
+		view: cfg.View, sender: cfg.Sender, reserver: cfg.Reserver, notifier: cfg.Witness, quarantine: cfg.Quarantine,
+		log: cfg.Log, metrics: cfg.Metrics, started: time.Now(), timeouts: newTimeoutTracker(),
 	}
 }
 
-// Route returns the route of a request, or why there is none. A process that has
-// just started waits a moment for what it needs to know: a caller that is told to come
-// back loses much more.
+// Route returns the route of a request, or the refusal when there is none. A process that has
+// just started waits up to startupGrace for catalog and targets: a caller that is told to
+// retry loses much more time.
 func (g *Gateway) Route(ctx context.Context, id, host, path string) (*catalog.Route, *Refusal) {
 	route, refusal := g.route(ctx, host, path)
 	if refusal != nil {
@@ -152,7 +153,7 @@
 	return route, refusal
 }
 
-// version returns the version in force, -1 while none is known.
+// version returns the version of the catalog in force, -1 while none is loaded.
 func (g *Gateway) version() int64 {
 	if c := g.view.Catalog(); c != nil {
 		return c.Version
@@ -162,13 +163,13 @@
 
 func (g *Gateway) route(ctx context.Context, host, path string) (*catalog.Route, *Refusal) {
 	if !g.view.Ready() {
-		if left := startWait - time.Since(g.started); left > 0 {
+		if left := startupGrace - time.Since(g.started); left > 0 {
 			g.view.Await(ctx, left)
 		}
 	}
 	cat := g.view.Catalog()
 	if cat == nil {
-		return nil, &Refusal{Reason: NotReady, NotRun: true, RetryAfter: retryNone}
+		return nil, &Refusal{Reason: NotReady, NotRun: true, RetryAfter: retryAfterUnavailable}
 	}
 	r := cat.Match(host, path)
 	if r == nil {
@@ -177,55 +178,56 @@
 	return r, nil
 }
 
-// Serve carries out one request and answers its caller.
+// Serve executes one request and responds to its caller. It sets req.Deadline to the earlier
+// of the caller's deadline and the route's timeout.
 func (g *Gateway) Serve(ctx context.Context, route *catalog.Route, req *Request, caller Caller) {
-	timed := !req.Deadline.IsZero()
-	returning := timed && g.budgets.returning(req.Arrived, route.Name, req.Deadline.Sub(req.Arrived))
+	hasDeadline := !req.Deadline.IsZero()
+	isRetry := hasDeadline && g.timeouts.isRetry(req.Arrived, route.Name, req.Deadline.Sub(req.Arrived))
 	limit := req.Arrived.Add(route.Timeout)
 	if req.Deadline.IsZero() || limit.Before(req.Deadline) {
 		req.Deadline = limit
 	}
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
-	s := &serving{g: g, ctx: ctx, route: route, req: req, caller: caller, tried: make(map[string]bool), timed: timed, returning: returning}
+	s := &requestState{g: g, ctx: ctx, route: route, req: req, caller: caller, tried: make(map[string]bool), hasDeadline: hasDeadline, isRetry: isRetry}
 	s.service = route.Service(req.ID)
 	s.run()
 	s.report()
 }
 
-// serving is the state of one request.
-type serving struct {
-	g         *Gateway
-	ctx       context.Context
-	route     *catalog.Route
-	req       *Request
-	caller    Caller
-	service   string
-	timed     bool // the caller tells how long it waits
-	returning bool // it was turned away before
+// requestState is the state of one request.
+type requestState struct {
+	g           *Gateway
+	ctx         context.Context
+	route       *catalog.Route
+	req         *Request
+	caller      Caller
+	service     string
+	hasDeadline bool // the caller sent a deadline
+	isRetry     bool // the request was probably refused before
 
-	tried    map[string]bool // targets that shall not get it again
-	sends    int
-	runs     int       // sends that may have been run
-	sentAt   time.Time // of the last send
-	started  bool      // status and header were sent to the caller
-	last     uint64
-	got      uint64    // events of the last send
-	firstAt  time.Time // first event or answer
-	outcome  string
-	instance string
-	choice   balance.Choice
+	tried           map[string]bool // targets to which the request is not sent again
+	sends           int
+	possibleRuns    int       // sends that the target may have run
+	sentAt          time.Time // time of the last send
+	headerSent      bool      // status and header were sent to the caller
+	lastEvent       uint64    // ID of the last event sent to the caller
+	attemptEvents   uint64    // events received in the last send
+	firstResponseAt time.Time // time of the first event or response
+	outcome         string
+	instance        string
+	choice          balance.Choice
 }
 
-// step is what to do after one send.
+// step is what to do next after one send.
 type step int
 
 const (
 	finished step = iota
-	again         // try another target
+	tryNext       // try another target
 )
 
-func (s *serving) run() {
+func (s *requestState) run() {
 	for {
 		choice, ok := s.choose()
 		if !ok {
@@ -237,131 +239,138 @@
 	}
 }
 
-// choose picks the next target, or refuses.
-func (s *serving) choose() (balance.Choice, bool) {
+// choose picks the target of the next send. It reports false when it has ended the request
+// instead.
+func (s *requestState) choose() (balance.Choice, bool) {
 	if s.ctx.Err() != nil {
-		s.giveUp(TimedOut, 0)
+		s.fail(TimedOut, 0)
 		return balance.Choice{}, false
 	}
-	// Looked at before each send: the targets that this very request met may have been
-	// the last that were needed to tell. Without it one request that its caller repeats
-	// crashes a service as fast as its targets come back.
+	// The check precedes each send, since the crashes of this request's own sends may have
+	// completed the evidence against it. Otherwise one request that its caller retries
+	// crashes a service as fast as its targets restart.
 	s.g.quarantine.Settle(s.ctx, s.req.Key)
 	if left, held := s.g.quarantine.Held(s.req.Key); held {
-		s.giveUp(Quarantined, left)
+		s.fail(Quarantined, left)
 		return balance.Choice{}, false
 	}
-	c, ok := s.pickReserved()
+	c, ok := s.pickAndReserve()
 	if !ok {
 		c, ok = s.pick()
 	}
 	switch {
 	case !ok:
-		s.giveUp(NoTarget, retryNone)
+		s.fail(NoTarget, retryAfterUnavailable)
 		return c, false
-	case !s.fits(c):
+	case !s.admissible(c):
 		s.choice = c
-		s.giveUp(Overload, s.retryAfter())
+		s.fail(Overload, s.retryAfter())
 		return c, false
 	}
 	s.choice, s.instance = c, c.Instance.ID
-	// Told before the end as well: a process that dies tells nothing more.
+	// The send is logged in addition to the end: a process that dies does not log the end.
 	s.g.log.Info("request sent", logging.F("request", s.req.ID), logging.F("key", s.req.Key.String()), logging.F("route", s.route.Name),
 		logging.F("instance", c.Instance.ID), logging.F("load", c.Load), logging.F("batch", c.Batch),
-		logging.F("waiting", c.Waiting), logging.F("load_age_ms", ageMillis(c)), logging.F("reserved", s.req.Reserved != ""),
+		logging.F("waiting", c.Waiting), logging.F("load_age_ms", loadAgeMillis(c)), logging.F("reserved", s.req.Reserved != ""),
 		logging.F("among", c.Among), logging.F("catalog", s.g.version()))
 	return c, true
 }
 
-// ageMillis returns how old the load was that decided a choice, -1 when none was known.
-func ageMillis(c balance.Choice) int64 {
+// loadAgeMillis returns the age in milliseconds of the load report behind a choice, -1 when
+// there was none.
+func loadAgeMillis(c balance.Choice) int64 {
 	if !c.Reported() {
 		return -1
 	}
 	return c.Age.Milliseconds()
 }
 
-// pick chooses a target and counts the request there when it fits.
-func (s *serving) pick() (balance.Choice, bool) {
-	return s.take(func(t *balance.Table) (balance.Choice, bool) {
+// pick chooses a target and counts the request there when it is admissible.
+func (s *requestState) pick() (balance.Choice, bool) {
+	return s.selectTarget(func(t *balance.Table) (balance.Choice, bool) {
 		return t.Pick(time.Now(), s.service, s.tried, rand.Float64())
 	})
 }
 
-// take makes a choice and counts the request there when it fits.
-func (s *serving) take(choose func(t *balance.Table) (balance.Choice, bool)) (c balance.Choice, ok bool) {
+// selectTarget calls choose with the table and counts the request at the chosen target when
+// it is admissible there. It holds the table's lock for both steps.
+func (s *requestState) selectTarget(choose func(t *balance.Table) (balance.Choice, bool)) (c balance.Choice, ok bool) {
 	s.g.view.Table(func(t *balance.Table) {
 		c, ok = choose(t)
-		if ok && s.fits(c) {
+		if ok && s.admissible(c) {
 			t.Began(time.Now(), c.Instance.ID)
 		}
 	})
 	return c, ok
 }
 
-// attempt sends the request to one target and passes its answer on.
-func (s *serving) attempt(c balance.Choice) step {
+// attempt sends the request to one target and relays the response.
+func (s *requestState) attempt(c balance.Choice) step {
 	defer func() {
-		// A send that was not read to its end costs its connection.
-		whole := s.outcome == outcomeServed
-		s.g.view.Table(func(t *balance.Table) { t.Ended(time.Now(), c.Instance.ID, whole) })
+		// The connection cannot be reused when the response was not read to its end.
+		reusable := s.outcome == outcomeServed
+		s.g.view.Table(func(t *balance.Table) { t.Ended(time.Now(), c.Instance.ID, reusable) })
 	}()
 	s.sends++
-	s.sentAt, s.got = time.Now(), 0
-	s.runs++ // until the target says otherwise
+	s.sentAt, s.attemptEvents = time.Now(), 0
+	s.possibleRuns++ // until the target reports that it did not run the request
 	call := s.req.Call
-	call.After = max(call.After, s.last)
+	call.After = max(call.After, s.lastEvent)
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
-	waiting := newWatch(queuedAfter, lookEvery, cancel, s.waitingLook(c))
-	defer waiting.stop()
+	queueWatchdog := newWatchdog(queuedThreshold, queuePollInterval, cancel, s.queueCheck(c))
+	defer queueWatchdog.stop()
 	ans, err := s.g.sender.Send(ctx, c.Instance, &call)
-	waiting.stop()
+	queueWatchdog.stop()
 	if err != nil {
-		return s.afterError(c.Instance, err)
+		return s.handleSendError(c.Instance, err)
 	}
-	defer func() { _ = ans.Body.Close() }() // nothing is read from it any more
+	defer func() { _ = ans.Body.Close() }() // nothing more is read from it
 	switch ans.Outcome {
 	case exchange.NotRun, exchange.OtherInstance:
-		return s.afterNotRun(c.Instance, ans)
+		return s.handleNotRun(c.Instance, ans)
 	case exchange.Failed:
-		s.judge(c.Instance, balance.Doubted, "failed")
-		if s.mayMove() {
-			s.note("sent again after a failure", c.Instance, "status", ans.Status)
+		s.updateHealth(c.Instance, balance.Doubted, "failed")
+		if s.mayRetry() {
+			s.logRetry("sent again after a failure", c.Instance, "status", ans.Status)
 			s.tried[c.Instance.ID] = true
-			return again
+			return tryNext
 		}
 	case exchange.Done:
 	}
-	if s.started {
-		return s.resume(ans, c, cancel)
+	if s.headerSent {
+		return s.resumeStream(ans, c, cancel)
 	}
 	if ans.Events && ans.Outcome == exchange.Done {
-		return s.stream(ans, c, cancel)
+		return s.relayStream(ans, c, cancel)
 	}
-	return s.whole(ans, c)
+	return s.relayBody(ans, c)
 }
 
-// mayMove reports whether the request may be sent to one more target although
-// it may have been run.
-func (s *serving) mayMove() bool {
-	return s.route.Repeatable() && s.runs < max(s.route.Attempts, 1) && s.sends < maxSends
+// mayRetry reports whether the request may be sent to one more target although it may
+// already have been run.
+func (s *requestState) mayRetry() bool {
+	return s.route.Repeatable() && s.possibleRuns < max(s.route.Attempts, 1) && s.sends < maxSends
 }
 
-func (s *serving) judge(in targets.Instance, v balance.Verdict, why string) {
+// updateHealth records a verdict on a target, and notifies other processes when the target
+// failed. The reason is used for the log and the metric of an ejection.
+func (s *requestState) updateHealth(in targets.Instance, v balance.Verdict, reason string) {
 	var ejected time.Duration
 	s.g.view.Table(func(t *balance.Table) { ejected = t.Judge(time.Now(), in.ID, v) })
 	if v == balance.Doubted || v == balance.Unfit {
-		s.g.witness.Tell(in.ID)
+		s.g.notifier.Tell(in.ID)
 	}
 	if ejected > 0 {
-		s.g.metrics.Count("ejected_" + why)
-		s.g.log.Warn("target ejected", logging.F("instance", in.ID), logging.F("why", why),
+		s.g.metrics.Count("ejected_" + reason)
+		s.g.log.Warn("target ejected", logging.F("instance", in.ID), logging.F("why", reason),
 			logging.F("for_ms", ejected.Milliseconds()), logging.F("request", s.req.ID))
 	}
 }
 
-func (s *serving) note(what string, in targets.Instance, key string, value any) {
-	s.g.log.Info(what, logging.F("request", s.req.ID), logging.F("instance", in.ID), logging.F("sends", s.sends),
-		logging.F("last_event", s.last), logging.F(key, value))
+// logRetry logs that the request is sent once more. The messages that begin with "sent " or
+// "stream goes on" are parsed by package losses.
+func (s *requestState) logRetry(message string, in targets.Instance, key string, value any) {
+	s.g.log.Info(message, logging.F("request", s.req.ID), logging.F("instance", in.ID), logging.F("sends", s.sends),
+		logging.F("last_event", s.lastEvent), logging.F(key, value))
 }
--- a/gateway/overload.go
+++ b/gateway/overload.go
@@ -8,99 +8,102 @@
 	"pumiceford/balance"
 )
 
-// Limits under overload.
+// Limits of admission under overload.
 const (
-	// waitShare is the part of the aim for a first event that a request may be estimated
-	// to wait for a slot when it comes first. All that wait longer come late, and make
-	// those behind them late as well.
-	waitShare = 0.4
-	// backLeast and backMost are the parts of its time left after which a caller that is
-	// turned away is told to come back. Spread out, so that those of one burst do not
-	// come back as the next; at least two thirds of the time are left to serve it then.
-	backLeast = 1.0 / 6
-	backMost  = 1.0 / 3
-	// backUnknown is when to come back for a caller that does not tell its time.
-	backUnknown = 300 * time.Millisecond
-	// returningBelow is the part of the usual time below which a caller is taken for one
-	// that has come before.
-	returningBelow = 0.9
-	// usualFor is how long the longest time that a caller had counts as the usual one.
-	usualFor = 10 * time.Second
+	// maxWaitShare is the fraction of the route's objective for the first event that a
+	// first attempt may be estimated to wait for a slot. A request that waits longer
+	// misses the objective and makes those queued behind it miss theirs.
+	maxWaitShare = 0.4
+	// minRetryAfterShare and maxRetryAfterShare bound the retry-after of a refused caller,
+	// as fractions of the time left until its deadline. The value is random, so that the
+	// callers of one burst do not return as the next; at least two thirds of the time are
+	// left to serve the retry.
+	minRetryAfterShare = 1.0 / 6
+	maxRetryAfterShare = 1.0 / 3
+	// retryAfterNoDeadline is the retry-after of a caller that sends no deadline.
+	retryAfterNoDeadline = 300 * time.Millisecond
+	// retryTimeoutShare is the fraction of the longest recent timeout on a route below which
+	// a request counts as a retry.
+	retryTimeoutShare = 0.9
+	// timeoutWindowLength is the length of a window in which the longest timeout is tracked.
+	timeoutWindowLength = 10 * time.Second
 )
 
-// fits reports whether waiting at the chosen target is still useful. A request that was
-// sent before is not turned away any more: it may have been run. A caller that was
-// turned away once waits in any queue that is useful at all, where others are turned
-// away; so does one that does not tell its time.
-func (s *serving) fits(c balance.Choice) bool {
+// admissible reports whether waiting at the chosen target is still useful. A request that
+// may already have been run is always admitted. A retry may wait in any queue that is useful at
+// all, where first attempts are refused; so may a request without a deadline, and any request
+// on a route without an objective for the first event.
+func (s *requestState) admissible(c balance.Choice) bool {
 	switch {
-	case s.runs > 0:
+	case s.possibleRuns > 0:
 		return true
-	case s.returning || !s.timed || s.route.FirstWithin <= 0:
+	case s.isRetry || !s.hasDeadline || s.route.FirstWithin <= 0:
 		return c.Useful()
 	}
-	return c.Within(time.Duration(waitShare * float64(s.route.FirstWithin)))
+	return c.Within(time.Duration(maxWaitShare * float64(s.route.FirstWithin)))
 }
 
-// retryAfter returns when a caller that is turned away shall come back.
-func (s *serving) retryAfter() time.Duration {
-	if !s.timed {
-		return backUnknown
+// retryAfter returns how long a refused caller should wait before it retries.
+func (s *requestState) retryAfter() time.Duration {
+	if !s.hasDeadline {
+		return retryAfterNoDeadline
 	}
-	share := backLeast + (backMost-backLeast)*rand.Float64()
-	return time.Duration(share * float64(time.Until(s.req.Deadline)))
+	fraction := minRetryAfterShare + (maxRetryAfterShare-minRetryAfterShare)*rand.Float64()
+	return time.Duration(fraction * float64(time.Until(s.req.Deadline)))
 }
 
-// noteHeld learns how long a request holds its slot from those that had one at once.
-func (s *serving) noteHeld(now time.Time) {
+// observeHoldTime records how long the request held its slot. Only requests that got a slot
+// at once, at the first target, are suitable.
+func (s *requestState) observeHoldTime(now time.Time) {
 	if s.outcome != outcomeServed || s.sends != 1 || s.choice.Wait > 0 {
 		return
 	}
 	s.g.view.Table(func(t *balance.Table) { t.NoteHold(s.service, now.Sub(s.sentAt)) })
 }
 
-// budgets knows the time that callers of each route usually have, which tells those
-// that come for the first time from those that were turned away: the time left of
-// these is shorter.
-type budgets struct {
+// timeoutTracker tracks the longest timeout that callers of each route send. It tells first
+// attempts from retries: a caller that was refused before has less time left. It is safe for
+// concurrent use.
+type timeoutTracker struct {
 	mu     sync.Mutex
-	routes map[string]*budget
+	routes map[string]*timeoutWindow // by route name
 }
 
-// budget is the longest time that a caller had in this span and the one before.
-type budget struct {
-	since     time.Time
-	now, past time.Duration
+// timeoutWindow holds the longest timeout of a route in the current window and in the one
+// before it.
+type timeoutWindow struct {
+	start             time.Time
+	current, previous time.Duration
 }
 
-func newBudgets() *budgets {
-	return &budgets{routes: make(map[string]*budget)}
+func newTimeoutTracker() *timeoutTracker {
+	return &timeoutTracker{routes: make(map[string]*timeoutWindow)}
 }
 
-// returning notes the time that a caller of a route has left, and reports whether it
-// has come before.
-func (b *budgets) returning(now time.Time, route string, left time.Duration) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	u := b.routes[route]
-	if u == nil {
-		b.forget(now)
-		u = &budget{since: now}
-		b.routes[route] = u
+// isRetry records the time that a caller of a route has left, and reports whether the request
+// counts as a retry.
+func (t *timeoutTracker) isRetry(now time.Time, route string, left time.Duration) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	w := t.routes[route]
+	if w == nil {
+		t.evictIdle(now)
+		w = &timeoutWindow{start: now}
+		t.routes[route] = w
 	}
-	if now.Sub(u.since) > usualFor {
-		u.since, u.past, u.now = now, u.now, 0
+	if now.Sub(w.start) > timeoutWindowLength {
+		w.start, w.previous, w.current = now, w.current, 0
 	}
-	u.now = max(u.now, left)
-	return float64(left) < returningBelow*float64(max(u.now, u.past))
+	w.current = max(w.current, left)
+	return float64(left) < retryTimeoutShare*float64(max(w.current, w.previous))
 }
 
-// forget drops the routes that nobody has asked for in two spans: routes come and go
-// with the configuration. b.mu is held.
-func (b *budgets) forget(now time.Time) {
-	for route, u := range b.routes {
-		if now.Sub(u.since) > 2*usualFor {
-			delete(b.routes, route)
+// evictIdle drops the routes without requests in two windows: configuration changes add
+// and remove routes. The caller holds t.mu.
+func (t *timeoutTracker) evictIdle(now time.Time) {
+	for route, w := range t.routes {
+		if now.Sub(w.start) > 2*timeoutWindowLength {
+			delete(t.routes, route)
 		}
 	}
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -13,113 +13,114 @@
 	"pumiceford/targets"
 )
 
-// deadly is the key of the requests of these tests, which tell none.
-var deadly quarantine.Key
+// testKey is the key of the requests of these tests: fixture.serve sets none.
+var testKey quarantine.Key
 
-// crashes has the request crash targets that this process did not send it to.
-func (w *world) crashes(ids ...string) {
+// crashElsewhere records that the request crashed targets to which this process did not send it.
+func (f *fixture) crashElsewhere(ids ...string) {
 	for _, id := range ids {
-		w.live.crash(id)
-		w.held.Broke(context.Background(), quarantine.Run{Key: deadly, Target: targets.Instance{ID: id}})
+		f.prober.crash(id)
+		f.quarantine.Broke(context.Background(), quarantine.Run{Key: testKey, Target: targets.Instance{ID: id}})
 	}
 }
 
-func (l *lives) crash(id string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.crashed[id] = true
+func (p *fakeProber) crash(id string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.crashed[id] = true
 }
 
-// crashing is a target that crashes as soon as it has the request.
-func (w *world) crashing() reply {
+// crashOnReceive returns the reply of a target that crashes as soon as it has the request.
+func (f *fixture) crashOnReceive() scriptedReply {
 	return func(context.Context, *exchange.Call) (*exchange.Answer, error) {
-		w.sc.mu.Lock()
-		id := w.sc.to[len(w.sc.to)-1]
-		w.sc.mu.Unlock()
-		w.live.crash(id)
+		f.sender.mu.Lock()
+		id := f.sender.to[len(f.sender.to)-1]
+		f.sender.mu.Unlock()
+		f.prober.crash(id)
 		return nil, &exchange.SendError{Fault: exchange.FaultBroken, Sent: true, Cause: io.ErrUnexpectedEOF}
 	}
 }
 
-// A request that crashed three targets elsewhere comes to this process for the first
-// time. It is refused at once, truthfully as not run, with when to come back.
-func TestAHeldRequestIsRefusedAtOnce(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		w := newWorld(repeat, 3)
-		w.crashes("x", "y", "z")
-		const later = time.Second
-		time.Sleep(later) // the first one waits for what others may say
+// A request that crashed three targets elsewhere reaches this process for the first time. It is
+// refused at once as not run, with a retry-after of the rest of its hold.
+func TestHeldRequestIsRefusedAtOnce(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
+		f := newFixture(idempotent, 3)
+		f.crashElsewhere("x", "y", "z")
+		const delay = time.Second
+		time.Sleep(delay) // past the time in which other processes may still clear the request
 		began := time.Now()
-		c := w.serve(t.Context())
-		if c.refusal == nil || c.refusal.Reason != gateway.Quarantined || !c.refusal.NotRun || c.refusal.RetryAfter != quarantine.HoldFor-later {
+		c := f.serve(t.Context())
+		if c.refusal == nil || c.refusal.Reason != gateway.Quarantined || !c.refusal.NotRun || c.refusal.RetryAfter != quarantine.HoldFor-delay {
 			t.Fatalf("refusal %+v", c.refusal)
 		}
 		if took := time.Since(began); took > 0 {
 			t.Errorf("refused after %s", took)
 		}
-		if len(w.sc.calls) > 0 {
-			t.Fatalf("sent %d times", len(w.sc.calls))
+		if len(f.sender.calls) > 0 {
+			t.Fatalf("sent %d times", len(f.sender.calls))
 		}
 	})
 }
 
-// A request had crashed two targets and crashes a third one here. It was sent to the next
-// target all the same, because only its attempts counted. Now it ends there, and its caller
-// is not told that it has not run.
-func TestTheLastCrashEndsARequest(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		w := newWorld(repeat, 3)
-		w.sc.replies = []reply{w.crashing(), answer(exchange.Done, 200, strings.NewReader("late"), false)}
-		w.crashes("x", "y")
-		c := w.serve(t.Context())
+// A request that crashed two targets elsewhere crashes a third one here. If only its attempts
+// bounded the sends, it would go to the next target and crash it too. It is refused instead, and
+// not as "not run".
+func TestRequestEndsWithDecidingCrash(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
+		f := newFixture(idempotent, 3)
+		f.sender.replies = []scriptedReply{f.crashOnReceive(), respond(exchange.Done, 200, strings.NewReader("late"), false)}
+		f.crashElsewhere("x", "y")
+		c := f.serve(t.Context())
 		if c.refusal == nil || c.refusal.Reason != gateway.Quarantined || c.refusal.NotRun {
 			t.Fatalf("refusal %+v", c.refusal)
 		}
-		if len(w.sc.calls) != 1 {
-			t.Fatalf("sent %d times", len(w.sc.calls))
+		if len(f.sender.calls) != 1 {
+			t.Fatalf("sent %d times", len(f.sender.calls))
 		}
 	})
 }
 
-// A request was at two crashed targets by chance. Its whole answer clears it, so that two
-// more crashes beside it do not hold it.
-func TestAnAnswerClearsARequest(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		w := newWorld(repeat, 3, answer(exchange.Done, 200, strings.NewReader("ok"), false))
-		w.crashes("x", "y")
-		if c := w.serve(t.Context()); c.body.String() != "ok" {
+// A request ran by chance at two targets that crashed. Its complete response clears it, so that
+// two more crashes of targets that run it do not hold it.
+func TestCompleteResponseClearsRequest(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
+		f := newFixture(idempotent, 3, respond(exchange.Done, 200, strings.NewReader("ok"), false))
+		f.crashElsewhere("x", "y")
+		if c := f.serve(t.Context()); c.body.String() != "ok" {
 			t.Fatalf("refusal %+v", c.refusal)
 		}
-		w.crashes("v", "w")
-		if _, held := w.held.Held(deadly); held {
-			t.Error("held although it ran well")
+		f.crashElsewhere("v", "w")
+		if _, held := f.quarantine.Held(testKey); held {
+			t.Error("held although it was served after the first two crashes")
 		}
 	})
 }
 
-// A connection that broke while its target lived on, as a spoilt answer or a reset leaves it,
-// counts against nobody.
-func TestABrokenConnectionIsNoCrash(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		w := newWorld(repeat, 3)
-		w.sc.replies = []reply{broken(true), broken(true), broken(true), broken(true), broken(true), broken(true)}
+// A connection that breaks while its target lives on, after an invalid response or a reset, does
+// not count as a crash.
+func TestBrokenConnectionIsNotCrash(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
+		f := newFixture(idempotent, 3)
+		f.sender.replies = []scriptedReply{failBroken(true), failBroken(true), failBroken(true), failBroken(true), failBroken(true), failBroken(true)}
 		for range 3 {
-			w.serve(t.Context())
+			f.serve(t.Context())
 		}
-		if all := w.held.Cases(); len(all) > 0 {
-			t.Errorf("counted: %+v", all)
+		if all := f.quarantine.Cases(); len(all) > 0 {
+			t.Errorf("crashes counted: %+v", all)
 		}
 	})
 }
 
-// A request was at three crashes within moments. The word that it had run well elsewhere was
-// on its way, and it was refused meanwhile. It waits for such a word, shortly.
-func TestWhatClearsARequestIsWaitedFor(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		w := newWorld(repeat, 3, answer(exchange.Done, 200, strings.NewReader("ok"), false))
-		w.crashes("x", "y", "z")
-		time.AfterFunc(50*time.Millisecond, func() { w.held.Served(deadly) })
-		if c := w.serve(t.Context()); c.body.String() != "ok" {
+// A request ran at three targets that crashed shortly after one another, while another process
+// was about to report that it was served. It waits briefly for such a report; otherwise it would
+// be refused meanwhile.
+func TestHeldRequestWaitsToBeCleared(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T) {
+		f := newFixture(idempotent, 3, respond(exchange.Done, 200, strings.NewReader("ok"), false))
+		f.crashElsewhere("x", "y", "z")
+		time.AfterFunc(50*time.Millisecond, func() { f.quarantine.Served(testKey) })
+		if c := f.serve(t.Context()); c.body.String() != "ok" {
 			t.Fatalf("refusal %+v", c.refusal)
 		}
 	})
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -12,26 +12,28 @@
 	"pumiceford/exchange"
 )
 
-// Limits of reserving.
+// Limits of slot reservation.
 const (
-	// reserveTries bounds the targets asked for a slot before the request goes where it
-	// has to wait.
-	reserveTries = 6
-	// reserveTimeout is many times what a target takes.
+	// maxReserveAttempts bounds how many targets are asked for a slot before the request is
+	// sent to a target where it has to wait.
+	maxReserveAttempts = 6
+	// reserveTimeout is many times what a target takes to respond to a reservation.
 	reserveTimeout = 60 * time.Millisecond
-	// reserveKeep is how long a reserved slot waits for its request.
-	reserveKeep = 300 * time.Millisecond
+	// reservationTTL is how long a target keeps a reserved slot for its request.
+	reservationTTL = 300 * time.Millisecond
 )
 
-// pickReserved chooses a target that is nearly full, or whose load is not reported, and
-// reserves a slot there. It reports false when that is of no use or did not succeed.
-func (s *serving) pickReserved() (balance.Choice, bool) {
+// pickAndReserve chooses a target that is nearly full, or whose load is not reported, and
+// reserves a slot there. When all targets that it asks are full, it chooses one without a
+// reservation. It reports false when a reservation is not possible or not needed, and when no
+// target was chosen.
+func (s *requestState) pickAndReserve() (balance.Choice, bool) {
 	s.req.Reserved = ""
-	if !s.reservable() {
+	if !s.canReserve() {
 		return balance.Choice{}, false
 	}
 	avoid := maps.Clone(s.tried)
-	for range reserveTries {
+	for range maxReserveAttempts {
 		var c balance.Choice
 		var ok bool
 		s.g.view.Table(func(t *balance.Table) { c, ok = t.Pick(time.Now(), s.service, avoid, rand.Float64()) })
@@ -40,7 +42,7 @@
 		}
 		s.g.view.Table(func(t *balance.Table) { t.Began(time.Now(), c.Instance.ID) })
 		ctx, cancel := context.WithTimeout(s.ctx, reserveTimeout)
-		name, err := s.g.reserve.Reserve(ctx, c.Instance, s.req.Tokens, reserveKeep)
+		name, err := s.g.reserver.Reserve(ctx, c.Instance, s.req.Tokens, reservationTTL)
 		cancel()
 		if err == nil {
 			s.req.Reserved = name
@@ -58,14 +60,15 @@
 		})
 		avoid[c.Instance.ID] = true
 	}
-	// Those that were asked are full, and so are most of the others.
-	return s.take(func(t *balance.Table) (balance.Choice, bool) {
+	// The targets that were asked gave no slot, and most of the others are probably full too.
+	return s.selectTarget(func(t *balance.Table) (balance.Choice, bool) {
 		return t.PickReported(time.Now(), s.service, avoid, rand.Float64())
 	})
 }
 
-// reservable reports whether a slot can be reserved for the request at all.
-func (s *serving) reservable() bool {
+// canReserve reports whether a slot can be reserved for the request: its token count must be
+// known, and its service must support reservations of reservationTTL.
+func (s *requestState) canReserve() bool {
 	cat := s.g.view.Catalog()
-	return cat != nil && s.req.Tokens > 0 && cat.Services[s.service].ReserveFor >= reserveKeep
+	return cat != nil && s.req.Tokens > 0 && cat.Services[s.service].ReserveFor >= reservationTTL
 }
--- a/gateway/waiting.go
+++ b/gateway/waiting.go
@@ -8,31 +8,34 @@
 	"pumiceford/targets"
 )
 
-// firstWait is how long a target may take for the start of its answer before
-// it counts as silent.
-func (s *serving) firstWait(c balance.Choice) time.Duration {
+// firstEventTimeout returns how long a target may take to start its response before it
+// counts as silent.
+func (s *requestState) firstEventTimeout(c balance.Choice) time.Duration {
 	if s.route.FirstWithin <= 0 {
-		return silentMost
+		return defaultSilenceTimeout
 	}
 	waiting := c.Waiting
 	if c.Load >= c.Instance.Slots {
 		waiting++
 	}
-	return time.Duration(firstShare*float64(s.route.FirstWithin)) + time.Duration(waiting)*perWaiting
+	return time.Duration(firstEventShare*float64(s.route.FirstWithin)) + time.Duration(waiting)*timeoutPerWaiting
 }
 
-func (s *serving) gapWait() time.Duration {
+// gapTimeout returns how long a stream may pause between events before its target counts as
+// silent.
+func (s *requestState) gapTimeout() time.Duration {
 	if s.route.GapWithin <= 0 {
-		return silentMost
+		return defaultSilenceTimeout
 	}
-	return time.Duration(gapShare * float64(s.route.GapWithin))
+	return time.Duration(eventGapShare * float64(s.route.GapWithin))
 }
 
-// waitingLook returns the look at a request that has no answer yet. It moves on
-// when another target has a slot free for it now, or when its target counts as
-// silent. To leave a queue for another queue would only lose its place.
-func (s *serving) waitingLook(c balance.Choice) func() bool {
-	sent, judged := time.Now(), false
+// queueCheck returns the watchdog's check of a request that has no response yet. The check
+// reports true when the request may be retried and another target has a free slot for it now,
+// or its target counts as silent. A request does not leave one queue for another, which would
+// only lose its place.
+func (s *requestState) queueCheck(c balance.Choice) func() bool {
+	sent, recorded := time.Now(), false
 	return func() bool {
 		now, free := time.Now(), false
 		idle := false
@@ -40,48 +43,48 @@
 			free = t.MayMove(now, s.service, c.Instance.ID, rand.Float64())
 			idle = t.HasFree(now, c.Instance.ID)
 		})
-		silent := now.Sub(sent) >= s.firstWait(c) && !s.alive(c.Instance) || s.toldSilent(c.Instance)
-		if silent && !judged {
-			judged = true
-			s.judge(c.Instance, s.silence(c), "silent")
+		silent := now.Sub(sent) >= s.firstEventTimeout(c) && !s.reportedAlive(c.Instance) || s.reportedSilent(c.Instance)
+		if silent && !recorded {
+			recorded = true
+			s.updateHealth(c.Instance, s.silenceVerdict(c), "silent")
 		}
 		if free && idle {
-			// It has a slot free and did not begin. To send the next request there as
-			// well would cost that one its second target, if this one has gone dark.
-			s.judge(c.Instance, balance.Late, "late")
+			// The target has a free slot and did not start the request, so it may be
+			// unreachable. The next request should not spend one of its attempts there too.
+			s.updateHealth(c.Instance, balance.Late, "late")
 		}
-		return s.mayMove() && (free || silent)
+		return s.mayRetry() && (free || silent)
 	}
 }
 
-// silence returns what it shows of a target that an answer does not begin. Where
-// its load is not reported the request may just wait there: to eject such targets in a
-// peak leaves ever fewer for all others.
-func (s *serving) silence(c balance.Choice) balance.Verdict {
+// silenceVerdict returns the verdict on a target whose response does not start. When the
+// target's load is not reported and no slot is reserved, the request may just be queued
+// there: ejecting such targets at peak load leaves fewer and fewer for all requests.
+func (s *requestState) silenceVerdict(c balance.Choice) balance.Verdict {
 	if c.Reported() || s.req.Reserved != "" {
 		return balance.Unfit
 	}
 	return balance.Late
 }
 
-// toldSilent reports whether a target's agent says that it does not answer.
-func (s *serving) toldSilent(in targets.Instance) (silent bool) {
+// reportedSilent reports whether a target's agent says that the target does not respond.
+func (s *requestState) reportedSilent(in targets.Instance) (silent bool) {
 	s.g.view.Table(func(t *balance.Table) { silent = t.Silent(time.Now(), in.ID) })
 	return silent
 }
 
-// alive reports whether a target's agent tells of it.
-func (s *serving) alive(in targets.Instance) (alive bool) {
+// reportedAlive reports whether a target's agent has recently reported it as responding.
+func (s *requestState) reportedAlive(in targets.Instance) (alive bool) {
 	s.g.view.Table(func(t *balance.Table) { alive = t.Alive(time.Now(), in.ID) })
 	return alive
 }
 
-// silent judges a target that has not answered in time. One whose agent tells of
-// it is only busy: to eject it would push its load on the others.
-func (s *serving) silent(in targets.Instance) {
-	if s.alive(in) {
+// handleSilence handles a target that has sent nothing within the gap timeout. A target that
+// its agent reports as responding is only busy: ejecting it would push its load onto others.
+func (s *requestState) handleSilence(in targets.Instance) {
+	if s.reportedAlive(in) {
 		s.g.metrics.Count("slow_answer")
 		return
 	}
-	s.judge(in, balance.Unfit, "silent")
+	s.updateHealth(in, balance.Unfit, "silent")
 }
