--- a/runner/member.go
+++ b/runner/member.go
@@ -13,31 +13,32 @@
 	"pumiceford/store"
 )
 
-// Intervals and bounds of membership.
+// Intervals and timeouts of group membership.
 const (
-	// memberTTL is how long a silent member keeps its partitions: three missed
-	// calls. Its items wait that long when it dies, of the 18 seconds they have.
-	memberTTL = 1600 * time.Millisecond
-	joinEvery = 500 * time.Millisecond
-	// handOverTimeout bounds stopping the runs of a partition and keeping how far
-	// they came.
+	// memberTTL is how long a member that does not call keeps its partitions: three
+	// missed calls. The items of a crashed member wait that long, out of the 18 seconds
+	// in which they are due.
+	memberTTL    = 1600 * time.Millisecond
+	joinInterval = 500 * time.Millisecond
+	// handOverTimeout bounds stopping the runs of lost partitions and saving their
+	// progress.
 	handOverTimeout = time.Second
-	// progressTimeout bounds reading how far the items of a new partition came;
-	// without an answer they start anew.
-	progressTimeout = 1500 * time.Millisecond
-	leaveTimeout    = 800 * time.Millisecond
-	// takeOverPause is left between attempts to read a new partition.
-	takeOverPause = 100 * time.Millisecond
-	// tellTakeOver is how often a partition that cannot be read is told of: its items
-	// wait for this process, which would say nothing otherwise.
-	tellTakeOver = 3 * time.Second
+	// loadProgressTimeout bounds loading the progress of the items of a new partition.
+	// Without an answer they restart from the first event.
+	loadProgressTimeout = 1500 * time.Millisecond
+	leaveTimeout        = 800 * time.Millisecond
+	// takeOverRetryInterval is the pause between attempts to load a new partition.
+	takeOverRetryInterval = 100 * time.Millisecond
+	// takeOverWarnInterval is the interval of warnings about a partition that cannot be
+	// loaded. Its items wait for this process, and nothing else reports that.
+	takeOverWarnInterval = 3 * time.Second
 )
 
-// errHandOver says that another process goes on with an item.
+// errHandOver is the cancellation cause of a run whose item another process continues.
 var errHandOver = errors.New("item handed over")
 
-// membership keeps this process in the group and takes what is proposed to it.
-func (r *Runner) membership(ctx context.Context) {
+// membershipLoop keeps this process in the group and applies its assignments.
+func (r *Runner) membershipLoop(ctx context.Context) {
 	var generation uint64
 	for ctx.Err() == nil && !r.isLeaving() {
 		m, err := r.cfg.Groups.Join(ctx, store.JoinRequest{
@@ -45,22 +46,22 @@
 			TTL: memberTTL, Generation: generation,
 		})
 		if err != nil {
-			// What was proposed last still counts: nothing is lost when another
-			// process runs it as well.
+			// The last assignment stays in force: no result is lost if another process
+			// runs the same items as well.
 			r.cfg.Metrics.Count("group_failures")
 		} else {
 			generation = m.Generation
 			r.assign(ctx, m)
 		}
-		_ = wait.For(ctx, joinEvery)
+		_ = wait.For(ctx, joinInterval)
 	}
 }
 
-// Holds reports whether a partition is proposed to this process.
+// Holds reports whether a partition is assigned to this process.
 func (r *Runner) Holds(part int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, ok := r.mine[part]
+	_, ok := r.assigned[part]
 	return ok
 }
 
@@ -70,27 +71,27 @@
 	return r.leaving
 }
 
-// assign takes a proposal. Partitions that went are handed over before the next
-// call to the group, which lets another member have them: so their items are not
-// run twice and go on where they are.
+// assign applies an assignment. Lost partitions are handed over before the next call to
+// the group, which releases them to another member. Their items are thus not run twice
+// and resume from their progress.
 func (r *Runner) assign(ctx context.Context, m store.Membership) {
-	proposed := make(map[int]bool)
+	assigned := make(map[int]bool)
 	for _, p := range m.Partitions {
 		if p.Topic == r.cfg.Store.Topic() {
-			proposed[p.Number] = true
+			assigned[p.Number] = true
 		}
 	}
 	var gained, lost []int
 	r.mu.Lock()
-	for p := range proposed {
-		if _, known := r.mine[p]; !known {
-			r.mine[p] = false
+	for p := range assigned {
+		if _, known := r.assigned[p]; !known {
+			r.assigned[p] = false
 			gained = append(gained, p)
 		}
 	}
-	for p := range r.mine {
-		if !proposed[p] {
-			delete(r.mine, p)
+	for p := range r.assigned {
+		if !assigned[p] {
+			delete(r.assigned, p)
 			lost = append(lost, p)
 		}
 	}
@@ -99,82 +100,81 @@
 		return
 	}
 	slices.Sort(gained)
-	r.cfg.Log.Info("partitions proposed", logging.F("generation", m.Generation), logging.F("count", len(proposed)),
+	r.cfg.Log.Info("partitions assigned", logging.F("generation", m.Generation), logging.F("count", len(assigned)),
 		logging.F("gained", gained), logging.F("lost", lost))
-	r.cfg.Metrics.Gauge("partitions", float64(len(proposed)))
+	r.cfg.Metrics.Gauge("partitions", float64(len(assigned)))
 	for _, p := range gained {
 		go r.takeOver(ctx, p)
 	}
 	r.handOver(ctx, lost)
 }
 
-// takeOver reads how far the items of a partition came, and lets them start.
+// takeOver loads the progress of a partition's items and then lets them start.
 func (r *Runner) takeOver(ctx context.Context, part int) {
-	// The jobs have to be known before the progress counts: what belongs to no
-	// open item is forgotten.
-	began, told := time.Now(), time.Now()
-	for err := r.cfg.Store.Refresh(ctx, part, startAge); err != nil; err = r.cfg.Store.Refresh(ctx, part, startAge) {
-		if wait.For(ctx, takeOverPause) != nil || !r.Holds(part) {
+	// Load the jobs before the progress: progress of items that are not open is discarded.
+	began, warned := time.Now(), time.Now()
+	for err := r.cfg.Store.Refresh(ctx, part, maxStateAge); err != nil; err = r.cfg.Store.Refresh(ctx, part, maxStateAge) {
+		if wait.For(ctx, takeOverRetryInterval) != nil || !r.Holds(part) {
 			return
 		}
-		if time.Since(told) >= tellTakeOver {
-			told = time.Now()
-			r.cfg.Log.Warn("partition not taken over yet; its items wait", logging.F("partition", part),
+		if time.Since(warned) >= takeOverWarnInterval {
+			warned = time.Now()
+			r.cfg.Log.Warn("partition not loaded yet; its items wait", logging.F("partition", part),
 				logging.F("for_ms", time.Since(began).Milliseconds()), logging.F("error", err.Error()))
 		}
 	}
-	one, cancel := context.WithTimeout(ctx, progressTimeout)
+	loadCtx, cancel := context.WithTimeout(ctx, loadProgressTimeout)
 	defer cancel()
-	all, err := r.cfg.Store.LoadProgress(one, part)
-	for err != nil && wait.For(one, takeOverPause) == nil {
-		all, err = r.cfg.Store.LoadProgress(one, part)
+	all, err := r.cfg.Store.LoadProgress(loadCtx, part)
+	for err != nil && wait.For(loadCtx, takeOverRetryInterval) == nil {
+		all, err = r.cfg.Store.LoadProgress(loadCtx, part)
 	}
 	if err != nil {
-		r.cfg.Log.Warn("progress not read; items start anew", logging.F("partition", part), logging.F("error", err.Error()))
+		r.cfg.Log.Warn("progress not loaded; items restart from the first event", logging.F("partition", part), logging.F("error", err.Error()))
 	}
 	r.mu.Lock()
 	for _, p := range all {
-		w := r.workLocked(p.Key, part)
-		if !w.running && p.Last > w.last {
-			w.last, w.text, w.saved = p.Last, p.Text, p.Last
+		st := r.itemLocked(p.Key, part)
+		if !st.running && p.Last > st.lastEvent {
+			st.lastEvent, st.text, st.savedEvent = p.Last, p.Text, p.Last
 		}
 	}
-	if _, still := r.mine[part]; still {
-		r.mine[part] = true
+	if _, ok := r.assigned[part]; ok {
+		r.assigned[part] = true
 	}
 	r.mu.Unlock()
-	poke(r.wake)
+	signal(r.wake)
 }
 
-// handOver stops the runs of partitions that went to other processes and keeps
-// how far they came.
+// handOver stops the runs of lost partitions and saves their progress, so that other
+// processes can resume them.
 func (r *Runner) handOver(ctx context.Context, lost []int) {
 	if len(lost) == 0 {
 		return
 	}
-	bound, cancel := context.WithTimeout(ctx, handOverTimeout)
+	stopCtx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	r.stopRuns(bound, func(w *work) bool { return slices.Contains(lost, w.part) })
+	r.stopRuns(stopCtx, func(st *itemState) bool { return slices.Contains(lost, st.part) })
 	for _, part := range lost {
-		r.save(bound, part)
+		r.saveProgress(stopCtx, part)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for k, w := range r.work {
-		if slices.Contains(lost, w.part) && !w.running && !w.done {
-			delete(r.work, k)
+	for k, st := range r.items {
+		if slices.Contains(lost, st.part) && !st.running && !st.done {
+			delete(r.items, k)
 		}
 	}
 }
 
-// stopRuns ends runs and waits until they have ended.
-func (r *Runner) stopRuns(ctx context.Context, which func(*work) bool) {
+// stopRuns cancels the runs that match and waits until they have ended or ctx is done.
+func (r *Runner) stopRuns(ctx context.Context, match func(*itemState) bool) {
 	var ended []chan struct{}
 	r.mu.Lock()
-	for _, w := range r.work {
-		if w.running && which(w) {
-			w.cancel(errHandOver)
-			ended = append(ended, w.ended)
+	for _, st := range r.items {
+		if st.running && match(st) {
+			st.cancel(errHandOver)
+			ended = append(ended, st.ended)
 		}
 	}
 	r.mu.Unlock()
@@ -187,38 +187,38 @@
 	}
 }
 
-// Leave stops running items, keeps how far they came, lists what has finished and
-// leaves the group, so that another process goes on at once.
+// Leave stops running items, saves their progress, lists finished items and leaves the
+// group, so that other processes resume the items without waiting for memberTTL.
 func (r *Runner) Leave(ctx context.Context) {
 	r.mu.Lock()
 	r.leaving = true
-	parts := make([]int, 0, len(r.mine))
-	for p := range r.mine {
+	parts := make([]int, 0, len(r.assigned))
+	for p := range r.assigned {
 		parts = append(parts, p)
 	}
 	r.mu.Unlock()
-	bound, cancel := context.WithTimeout(ctx, handOverTimeout)
+	stopCtx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	r.stopRuns(bound, func(*work) bool { return true })
+	r.stopRuns(stopCtx, func(*itemState) bool { return true })
 	for _, part := range parts {
-		r.save(bound, part)
+		r.saveProgress(stopCtx, part)
 	}
-	r.listAll(bound)
-	last, done := context.WithTimeout(ctx, leaveTimeout)
-	defer done()
-	if err := r.cfg.Groups.Leave(last, r.cfg.Group, r.cfg.Member); err != nil {
-		r.cfg.Log.Warn("group not left; the store notices later", logging.F("error", err.Error()))
+	r.listFinished(stopCtx)
+	leaveCtx, cancelLeave := context.WithTimeout(ctx, leaveTimeout)
+	defer cancelLeave()
+	if err := r.cfg.Groups.Leave(leaveCtx, r.cfg.Group, r.cfg.Member); err != nil {
+		r.cfg.Log.Warn("leaving the group failed; the membership expires on its own", logging.F("error", err.Error()))
 	}
 	r.cfg.Log.Info("items handed over", logging.F("partitions", len(parts)))
 }
 
-// save keeps how far the open items of a partition came since the last time.
-func (r *Runner) save(ctx context.Context, part int) {
+// saveProgress saves the progress that a partition's items have made since the last save.
+func (r *Runner) saveProgress(ctx context.Context, part int) {
 	var all []jobstore.Progress
 	r.mu.Lock()
-	for _, w := range r.work {
-		if w.part == part && !w.done && w.last > w.saved {
-			all = append(all, jobstore.Progress{Key: w.key, Last: w.last, Text: slices.Clone(w.text)})
+	for _, st := range r.items {
+		if st.part == part && !st.done && st.lastEvent > st.savedEvent {
+			all = append(all, jobstore.Progress{Key: st.key, Last: st.lastEvent, Text: slices.Clone(st.text)})
 		}
 	}
 	r.mu.Unlock()
@@ -227,14 +227,14 @@
 	}
 	if err := r.cfg.Store.SaveProgress(ctx, part, all); err != nil {
 		r.cfg.Metrics.Count("progress_not_saved")
-		r.cfg.Log.Warn("progress not kept", logging.F("partition", part), logging.F("items", len(all)), logging.F("error", err.Error()))
+		r.cfg.Log.Warn("progress not saved", logging.F("partition", part), logging.F("items", len(all)), logging.F("error", err.Error()))
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, p := range all {
-		if w := r.work[p.Key]; w != nil {
-			w.saved = max(w.saved, p.Last)
+		if st := r.items[p.Key]; st != nil {
+			st.savedEvent = max(st.savedEvent, p.Last)
 		}
 	}
 }
--- a/runner/quarantine_test.go
+++ b/runner/quarantine_test.go
@@ -10,32 +10,32 @@
 	"pumiceford/targets"
 )
 
-// An item whose runs crash their targets was started again without end, each time at another
-// target. It is held, its neighbours are done, and it stays open: an item may be sound after
-// all, and its result is owed until its time is over.
-func TestAHeldItemWaitsAndItsNeighboursAreDone(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store, e *engine) {
+// Guards against an item that crashes one target after another because it is retried without
+// end. It must be quarantined while the other items of its job finish. It must also stay
+// open: the item may be harmless, and its result is due until its deadline.
+func TestQuarantinedItemWaitsWhileOthersFinish(t *testing.T) {
+	inBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store, e *engine) {
 		a := startNode(ctx, s, e, "a")
-		time.Sleep(joined)
+		time.Sleep(joinTime)
 		js := spec("job", 2)
 		it := js.GetItems()[0]
 		it.Body = []byte("deadly")
 		key := quarantine.NewKey(js.GetCaller(), "POST", js.GetHost(), it.GetPath(), it.GetBody())
 		for _, id := range []string{"x", "y", "z"} {
-			a.held.Broke(ctx, quarantine.Run{Key: key, Target: targets.Instance{ID: id}})
+			a.quarantine.Broke(ctx, quarantine.Run{Key: key, Target: targets.Instance{ID: id}})
 		}
 		if err := a.jobs.Accept(ctx, js); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(2 * whole)
+		time.Sleep(2 * itemDuration)
 		if n := len(e.runs(it.GetId())); n > 0 {
-			t.Errorf("the held item ran %d times", n)
+			t.Errorf("the quarantined item ran %d times", n)
 		}
 		if res, err := a.jobs.Results(ctx, "job", 0, 0); err != nil || len(res.Items) != 1 {
 			t.Fatalf("%d results, %v", len(res.Items), err)
 		}
-		a.held.Clear(key)
-		time.Sleep(2 * whole)
-		finished(ctx, t, a, "job", 2)
+		a.quarantine.Clear(key)
+		time.Sleep(2 * itemDuration)
+		checkFinished(ctx, t, a, "job", 2)
 	})
 }
--- a/runner/run.go
+++ b/runner/run.go
@@ -20,19 +20,19 @@
 	"pumiceford/targets"
 )
 
-// Bounds of one run.
+// Timeouts of one run.
 const (
-	// firstSilent is how long a target may take to begin with an item: it has a free
-	// seat, so also a slow one begins much sooner.
-	firstSilent = 1500 * time.Millisecond
-	// gapSilent is how long it may pause: fifty times the usual pause.
-	gapSilent = 1200 * time.Millisecond
+	// firstEventTimeout bounds the wait for the first event of an item. The target has a
+	// free seat, so even a slow one starts much sooner.
+	firstEventTimeout = 1500 * time.Millisecond
+	// eventGapTimeout bounds the wait between two events: fifty times the usual gap.
+	eventGapTimeout = 1200 * time.Millisecond
 )
 
-// statusImpossible is the status that says an item can never be done.
+// statusImpossible is the status of an item that no target can ever process.
 const statusImpossible = http.StatusUnprocessableEntity
 
-// route returns the route that an item's path has now, nil when there is none.
+// route returns the current route of an item's path, or nil if there is none.
 func (r *Runner) route(c candidate) *catalog.Route {
 	cat := r.cfg.View.Catalog()
 	if cat == nil {
@@ -41,6 +41,8 @@
 	return cat.Match(c.open.Spec.GetHost(), c.open.Item.GetPath())
 }
 
+// service returns the service that runs an item. It reports false if the item has no
+// route.
 func (r *Runner) service(c candidate) (string, bool) {
 	route := r.route(c)
 	if route == nil {
@@ -49,46 +51,46 @@
 	return route.Service(c.open.Item.GetId()), true
 }
 
-// suitable leaves out the rooms that an item must not try next. A target that fails
-// everything at once always has seats free: items were given up as failed too often
-// that had met the same few targets each time. An item that has failed
-// goes elsewhere, and only to a target that is not in doubt, so that what is counted
-// against it are failures of its own. Where there is no other target, it waits for
-// the doubt to pass.
-func suitable(all []balance.Room, failedAt []string) []balance.Room {
-	if len(failedAt) == 0 {
+// excludeFailed returns the targets at which an item may be retried. A target that fails
+// every item immediately always has free seats, so items that returned to the same few
+// targets were given up as failed too often. An item that has failed is therefore retried
+// only at other targets, and only at those that are not in doubt, so that the failures
+// counted against it are its own. If there is no such target, the item waits until one is
+// no longer in doubt.
+func excludeFailed(all []balance.Room, avoid []string) []balance.Room {
+	if len(avoid) == 0 {
 		return all
 	}
 	var out []balance.Room
-	for _, room := range all {
-		if !room.Doubtful && !slices.Contains(failedAt, room.Instance.ID) {
-			out = append(out, room)
+	for _, c := range all {
+		if !c.Doubtful && !slices.Contains(avoid, c.Instance.ID) {
+			out = append(out, c)
 		}
 	}
 	return out
 }
 
-// rooms returns the targets that may have a seat for an item.
-func rooms(t *balance.Table, now time.Time, service string, due time.Time) []balance.Room {
+// seatCandidates returns the targets of a service that may have a free seat, best first.
+func seatCandidates(t *balance.Table, now time.Time, service string, due time.Time) []balance.Room {
 	if seats.Presses(now, due) {
 		return t.RoomsPressing(now, service)
 	}
 	return t.Rooms(now, service)
 }
 
-// seatWithin bounds the search for one item's seat: other items wait behind it, and an
-// agent that is gone takes a quarter of a second not to answer.
-const seatWithin = 500 * time.Millisecond
+// seatTimeout bounds the search for one item's seat. Other items wait behind it, and a
+// request to an agent that is down takes a quarter of a second to time out.
+const seatTimeout = 500 * time.Millisecond
 
-// seat asks the agents for a seat, the most promising first. What is known of the
-// targets is looked up anew for each question and once more after it: a target may
-// begin to leave while agents are asked, and an item must not be sent there then.
-func (r *Runner) seat(ctx context.Context, service string, failedAt []string, due time.Time) (*seats.Seat, targets.Instance) {
-	ctx, cancel := context.WithTimeout(ctx, seatWithin)
+// acquireSeat asks the agents for a seat, the best candidate first. It reads the state of
+// the targets again before each request and once more after it: a target may begin to
+// leave in the meantime, and must then get no item. It returns nil if there is no seat.
+func (r *Runner) acquireSeat(ctx context.Context, service string, avoid []string, due time.Time) (*seats.Seat, targets.Instance) {
+	ctx, cancel := context.WithTimeout(ctx, seatTimeout)
 	defer cancel()
 	asked := make(map[string]bool)
 	for ctx.Err() == nil {
-		in, ok := r.nextRoom(service, failedAt, due, asked)
+		in, ok := r.nextTarget(service, avoid, due, asked)
 		if !ok {
 			break
 		}
@@ -110,30 +112,31 @@
 	return nil, targets.Instance{}
 }
 
-// nextRoom returns the most promising target for an item whose agent was not asked yet.
-func (r *Runner) nextRoom(service string, failedAt []string, due time.Time, asked map[string]bool) (targets.Instance, bool) {
+// nextTarget returns the best target for an item whose agent has not been asked yet. It
+// reports false if there is none.
+func (r *Runner) nextTarget(service string, avoid []string, due time.Time, asked map[string]bool) (targets.Instance, bool) {
 	var ranked []balance.Room
 	only := false
 	r.cfg.View.Table(func(t *balance.Table) {
-		ranked = rooms(t, time.Now(), service, due)
-		only = t.Serving(service) <= len(failedAt)
+		ranked = seatCandidates(t, time.Now(), service, due)
+		only = t.Serving(service) <= len(avoid)
 	})
 	if !only {
-		ranked = suitable(ranked, failedAt)
+		ranked = excludeFailed(ranked, avoid)
 	}
-	for _, room := range ranked {
-		if !asked[room.Instance.ID] {
-			return room.Instance, true
+	for _, c := range ranked {
+		if !asked[c.Instance.ID] {
+			return c.Instance, true
 		}
 	}
 	return targets.Instance{}, false
 }
 
-// run carries out one attempt at an item.
-func (r *Runner) run(ctx context.Context, cancel context.CancelCauseFunc, c candidate, w *work, in targets.Instance, seat *seats.Seat) {
+// run makes one attempt at an item and records its result.
+func (r *Runner) run(ctx context.Context, cancel context.CancelCauseFunc, c candidate, st *itemState, in targets.Instance, seat *seats.Seat) {
 	began := time.Now()
 	r.mu.Lock()
-	from := w.last
+	from := st.lastEvent
 	r.mu.Unlock()
 	go func() {
 		select {
@@ -143,40 +146,41 @@
 		}
 	}()
 	r.cfg.View.Table(func(t *balance.Table) { t.BatchBegan(began, in.ID) })
-	outcome, err := r.attempt(ctx, c, w, in)
-	if err != nil && brokenOff(ctx, err) {
-		r.broke(ctx, c, w, in, from, began)
+	outcome, err := r.attempt(ctx, c, st, in)
+	if err != nil && connectionLost(ctx, err) {
+		r.reportLostConnection(ctx, c, st, in, from, began)
 	}
 	r.cfg.View.Table(func(t *balance.Table) { t.BatchEnded(time.Now(), in.ID, err == nil) })
 	why := "complete"
 	if err != nil {
 		why = reason(ctx, err)
 	}
-	to, failed := r.ended(ctx, c, w, in, outcome, err, from, began)
+	to, failed := r.endRun(ctx, c, st, in, outcome, err, from, began)
 	r.cfg.Log.Info("item run ended", logging.F("job", c.open.Job), logging.F("item", c.open.Item.GetId()),
 		logging.F("index", c.open.Index), logging.F("instance", in.ID), logging.F("why", why), logging.F("from_event", from), logging.F("to_event", to),
 		logging.F("took_ms", time.Since(began).Milliseconds()), logging.F("failed", failed))
 }
 
-// errYield says that the agent asked for the seat back.
+// errYield is the cancellation cause of a run whose seat the agent asked back.
 var errYield = errors.New("seat asked back")
 
-// stopped reports whether this process ended a run itself.
-func stopped(ctx context.Context) bool {
+// stoppedLocally reports whether this process cancelled the run itself.
+func stoppedLocally(ctx context.Context) bool {
 	cause := context.Cause(ctx)
-	return errors.Is(cause, errYield) || errors.Is(cause, errHandOver) || errors.Is(cause, errClosed)
+	return errors.Is(cause, errYield) || errors.Is(cause, errHandOver) || errors.Is(cause, errItemClosed)
 }
 
+// reason returns why a run ended without an outcome, for the log.
 func reason(ctx context.Context, err error) string {
-	if stopped(ctx) {
+	if stoppedLocally(ctx) {
 		return context.Cause(ctx).Error()
 	}
 	return err.Error()
 }
 
-// brokenOff reports whether a run ended because its connection did, once the target
-// had the item.
-func brokenOff(ctx context.Context, err error) bool {
+// connectionLost reports whether a run ended because its connection broke after the item
+// had been sent to the target.
+func connectionLost(ctx context.Context, err error) bool {
 	var se *exchange.SendError
 	if errors.As(err, &se) {
 		return se.Sent && se.Fault == exchange.FaultBroken
@@ -184,100 +188,104 @@
 	return ctx.Err() == nil && errors.Is(err, errNoOutcome)
 }
 
-// broke notes that a connection ended while the target had an item.
-func (r *Runner) broke(ctx context.Context, c candidate, w *work, in targets.Instance, from uint64, began time.Time) {
+// reportLostConnection tells the quarantine that a connection broke while the target had
+// an item.
+func (r *Runner) reportLostConnection(ctx context.Context, c candidate, st *itemState, in targets.Instance, from uint64, began time.Time) {
 	r.mu.Lock()
-	events := w.last - from
+	events := st.lastEvent - from
 	r.mu.Unlock()
 	r.cfg.Quarantine.Broke(ctx, quarantine.Run{
-		Key: w.content, Request: c.open.Item.GetId(), Target: in, Events: events, Took: time.Since(began),
+		Key: st.contentKey, Request: c.open.Item.GetId(), Target: in, Events: events, Took: time.Since(began),
 	})
 }
 
-// ended takes what came of an attempt. It returns the last event and the failed
-// attempts of the item.
-func (r *Runner) ended(ctx context.Context, c candidate, w *work, in targets.Instance, o *jobs.Outcome, err error, from uint64, began time.Time) (uint64, int) {
+// endRun records the result of an attempt. It returns the item's last event and its number
+// of failed attempts.
+func (r *Runner) endRun(ctx context.Context, c candidate, st *itemState, in targets.Instance, o *jobs.Outcome, err error, from uint64, began time.Time) (uint64, int) {
 	r.mu.Lock()
-	// Done in the same step as the end of the run: between the two the item would
-	// look open, and was started once more.
-	w.running, w.cancel, w.done = false, nil, o != nil
+	// Set done under the same lock as the end of the run. Otherwise the item looks open
+	// in between and is started again.
+	st.running, st.cancel, st.done = false, nil, o != nil
 	r.running--
-	if err != nil && !stopped(ctx) {
-		w.backoff = min(max(2*w.backoff, backoffFirst), backoffMost)
-		w.notBefore = time.Now().Add(w.backoff)
+	if err != nil && !stoppedLocally(ctx) {
+		st.backoff = min(max(2*st.backoff, minBackoff), maxBackoff)
+		st.notBefore = time.Now().Add(st.backoff)
 	}
 	if o != nil {
-		w.backoff = 0
-		r.pace.Whole(w.last)
+		st.backoff = 0
+		r.pace.Whole(st.lastEvent)
 	}
-	r.pace.Ran(w.last-from, time.Since(began))
-	last, failed, ended := w.last, w.failed, w.ended
+	r.pace.Ran(st.lastEvent-from, time.Since(began))
+	last, failed, ended := st.lastEvent, st.failures, st.ended
 	r.mu.Unlock()
 	switch {
 	case o != nil:
 		r.cfg.Metrics.Count("item_complete")
-		r.judge(in, balance.Sound)
-		r.cfg.Quarantine.Served(w.content)
-		r.finish(w, c, *o)
-	case stopped(ctx):
+		r.recordHealth(in, balance.Sound)
+		r.cfg.Quarantine.Served(st.contentKey)
+		r.finish(st, c, *o)
+	case stoppedLocally(ctx):
 		r.cfg.Metrics.Count("item_stopped")
 	default:
 		r.cfg.Metrics.Count("item_run_broken")
 	}
 	close(ended)
-	poke(r.wake)
+	signal(r.wake)
 	return last, failed
 }
 
-func (r *Runner) judge(in targets.Instance, v balance.Verdict) {
+// recordHealth records a verdict on the health of a target.
+func (r *Runner) recordHealth(in targets.Instance, v balance.Verdict) {
 	r.cfg.View.Table(func(t *balance.Table) { t.Judge(time.Now(), in.ID, v) })
 }
 
-// errNoOutcome is the parent of errors after which an item is tried again.
-var errNoOutcome = errors.New("no outcome")
+// errNoOutcome marks errors of an attempt that ended before the item was complete.
+var errNoOutcome = errors.New("attempt ended without an outcome")
 
-// attempt runs an item from its last whole event on. It returns the outcome when
-// the item is done.
-func (r *Runner) attempt(ctx context.Context, c candidate, w *work, in targets.Instance) (*jobs.Outcome, error) {
+// attempt runs an item from its last complete event on. It returns the outcome if the item
+// completes, and an error otherwise.
+func (r *Runner) attempt(ctx context.Context, c candidate, st *itemState, in targets.Instance) (*jobs.Outcome, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silent := time.AfterFunc(firstSilent, func() {
-		r.judge(in, balance.Unfit)
+	watchdog := time.AfterFunc(firstEventTimeout, func() {
+		r.recordHealth(in, balance.Unfit)
 		cancel()
 	})
-	defer silent.Stop()
+	defer watchdog.Stop()
 	item := c.open.Item
 	r.mu.Lock()
-	after := w.last
+	after := st.lastEvent
 	r.mu.Unlock()
 	ans, err := r.cfg.Sender.Send(ctx, in, &exchange.Call{
 		ID: item.GetId(), Method: http.MethodPost, Host: c.open.Spec.GetHost(), URI: item.GetPath(),
 		Header: r.cfg.Headers(item.GetHeaders()), Body: item.GetBody(), After: after, Workspace: c.open.Spec.GetWorkspace(),
 	})
 	if err != nil {
-		r.afterError(ctx, in, err)
+		r.recordSendError(ctx, in, err)
 		return nil, errors.Mark(err, errNoOutcome)
 	}
-	defer func() { _ = ans.Body.Close() }() // nothing is read from it any more
-	if err := r.refused(c, w, in, ans); err != nil {
+	defer func() { _ = ans.Body.Close() }() // nothing more is read from it
+	if err := r.checkAnswer(c, st, in, ans); err != nil {
 		return nil, err
 	}
-	return r.collect(c, w, ans, after, silent)
+	return r.readStream(c, st, ans, after, watchdog)
 }
 
-func (r *Runner) afterError(ctx context.Context, in targets.Instance, err error) {
+// recordSendError records the health of a target after a failed send, unless the run was
+// cancelled.
+func (r *Runner) recordSendError(ctx context.Context, in targets.Instance, err error) {
 	var se *exchange.SendError
 	if ctx.Err() != nil || !errors.As(err, &se) {
 		return
 	}
 	if se.Fault == exchange.FaultConnect {
-		r.judge(in, balance.Unfit)
+		r.recordHealth(in, balance.Unfit)
 		return
 	}
-	r.judge(in, balance.Doubted)
+	r.recordHealth(in, balance.Doubted)
 }
 
-// statusError says that a target answered with something else than a result.
+// statusError reports that a target answered with something other than a result stream.
 type statusError struct {
 	status int
 }
@@ -287,80 +295,80 @@
 	return "target answered with status " + http.StatusText(e.status)
 }
 
-// refused takes an answer that is no stream of results, and returns it as an
-// error.
-func (r *Runner) refused(c candidate, w *work, in targets.Instance, ans *exchange.Answer) error {
+// checkAnswer returns nil if an answer is a result stream. For any other answer it records
+// the failure and returns a statusError.
+func (r *Runner) checkAnswer(c candidate, st *itemState, in targets.Instance, ans *exchange.Answer) error {
 	if ans.Outcome == exchange.Done && ans.Status < http.StatusMultipleChoices {
 		if !ans.Events {
-			r.judge(in, balance.Doubted)
+			r.recordHealth(in, balance.Doubted)
 			return &statusError{ans.Status}
 		}
 		return nil
 	}
 	failed := ans.Outcome == exchange.Failed && ans.Status == http.StatusInternalServerError
-	never := ans.Outcome == exchange.Done && ans.Status == statusImpossible
+	impossible := ans.Outcome == exchange.Done && ans.Status == statusImpossible
 	if ans.Outcome == exchange.OtherInstance {
 		r.cfg.View.Supersede(in.ID)
 	}
-	if failed || never {
+	if failed || impossible {
 		r.mu.Lock()
 		if failed {
-			w.failed++
-			w.failedAt, w.failedOn = append(w.failedAt, in.ID), time.Now()
+			st.failures++
+			st.failedTargets, st.lastFailure = append(st.failedTargets, in.ID), time.Now()
 		}
-		first := w.failed == 1
-		w.never = w.never || never
-		count, impossible := w.failed, w.never
+		firstFailure := st.failures == 1
+		st.impossible = st.impossible || impossible
+		count, isImpossible := st.failures, st.impossible
 		r.mu.Unlock()
-		if failed && first {
-			// One that failed elsewhere before may itself be at fault.
-			r.judge(in, balance.Doubted)
+		if failed && firstFailure {
+			// If the item failed before, the item may be at fault, not the target.
+			r.recordHealth(in, balance.Doubted)
 		}
-		go r.writeDown(c, count, impossible)
+		go r.saveFailures(c, count, isImpossible)
 	}
 	return &statusError{ans.Status}
 }
 
-// writeDown keeps failed attempts on the store, so that another process does not
-// try a hopeless item anew.
-func (r *Runner) writeDown(c candidate, failed int, never bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), listTimeout)
+// saveFailures saves the number of failed attempts on the store, so that another process
+// does not start counting from zero.
+func (r *Runner) saveFailures(c candidate, failed int, impossible bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	if err := r.cfg.Store.Fail(ctx, c.open.Job, c.open.Index, failed, never); err != nil {
-		r.cfg.Log.Warn("failed attempt not written down", logging.F("job", c.open.Job),
+	if err := r.cfg.Store.Fail(ctx, c.open.Job, c.open.Index, failed, impossible); err != nil {
+		r.cfg.Log.Warn("failed attempt not saved", logging.F("job", c.open.Job),
 			logging.F("item", c.open.Item.GetId()), logging.F("error", err.Error()))
 	}
 }
 
-// collect reads a stream, from the event after one on, to its end. A stream that
-// ends at once is the end of an item only when its last event was had before.
-func (r *Runner) collect(c candidate, w *work, ans *exchange.Answer, after uint64, silent *time.Timer) (*jobs.Outcome, error) {
+// readStream reads the events that follow the event after, up to the end of the stream. A
+// stream that ends without an event completes the item only if earlier events are known.
+func (r *Runner) readStream(c candidate, st *itemState, ans *exchange.Answer, after uint64, watchdog *time.Timer) (*jobs.Outcome, error) {
 	rd := events.NewReader(ans.Body, after)
 	for n := 0; ; n++ {
 		ev, err := rd.Next()
 		if errors.Is(err, io.EOF) && n+int(after) > 0 {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			return &jobs.Outcome{Job: c.open.Job, Item: c.open.Index, Text: w.text}, nil
+			return &jobs.Outcome{Job: c.open.Job, Item: c.open.Index, Text: st.text}, nil
 		}
 		if err != nil {
 			return nil, errors.Mark(err, errNoOutcome)
 		}
-		silent.Reset(gapSilent)
+		watchdog.Reset(eventGapTimeout)
 		r.mu.Lock()
-		w.take(ev)
+		st.add(ev)
 		r.mu.Unlock()
 	}
 }
 
-// take adds a whole event.
-func (p *progress) take(ev events.Event) {
+// add appends a complete event.
+func (p *progress) add(ev events.Event) {
 	if !ev.Any {
 		return
 	}
-	if p.last > 0 {
+	if p.lastEvent > 0 {
 		p.text = append(p.text, '\n')
 	}
 	p.text = append(p.text, ev.Data...)
-	p.last = max(p.last, ev.ID)
+	p.lastEvent = max(p.lastEvent, ev.ID)
 }
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -1,9 +1,9 @@
 // Package runner runs the items of batch jobs. Each process joins a group on the
-// shared store, which proposes partitions to it; it runs the open items of those
-// in seats that the agents beside the targets grant.
+// shared store, which assigns partitions to it. The process runs the open items of
+// these partitions in seats that the agents beside the targets grant.
 //
-// The proposal is no lock: after a change two processes may run the same item
-// for a moment. Only one result is listed, and it never changes.
+// An assignment is not a lock: after a change two processes may briefly run the
+// same item. Only one result is listed, and it never changes.
 package runner
 
 import (
@@ -32,153 +32,158 @@
 
 // Seats grants seats at targets.
 type Seats interface {
-	// Acquire returns a seat at a target, nil when none is free there.
+	// Acquire returns a seat at a target, or nil if none is free there.
 	Acquire(ctx context.Context, in targets.Instance, due time.Time) (*seats.Seat, error)
 }
 
-// Config says what a Runner works with.
+// Config holds the settings and dependencies of a Runner.
 type Config struct {
-	Member string // of this process in the group
+	Member string // name of this process in the group
 	Group  string
 	Store  *jobstore.Store
 	Groups store.Groups
 	View   *fleet.View
 	Sender exchange.Sender
 	Seats  Seats
-	// Quarantine takes the runs that broke.
+	// Quarantine is told of runs whose connection broke.
 	Quarantine *quarantine.Keeper
 	Log        logging.Logger
 	Metrics    *metrics.Set
-	// Headers returns the header of an item's call.
+	// Headers returns the header to send with an item, given its own headers.
 	Headers func(item map[string]string) map[string][]string
-	// MaxRunning bounds the items that run at a time, for memory.
+	// MaxRunning limits how many items run at a time, which bounds memory.
 	MaxRunning int
 }
 
-// Bounds of running.
+// Intervals, timeouts and limits of dispatch.
 const (
-	// lookEvery is how often the open items are looked at when nothing changed.
-	lookEvery = 100 * time.Millisecond
-	// lookGap is left between two looks. Agents tell of free seats hundreds of times a
-	// second, and each look goes through all open items.
-	lookGap = 20 * time.Millisecond
-	// startAge is how old the knowledge of a job may be when an item is started.
-	// An ended job's items must not start once its end has been told for three
-	// seconds.
-	startAge = 1500 * time.Millisecond
-	// backoffFirst and backoffMost bound the pause before an item is tried again
-	// after a failure of a target.
-	backoffFirst = 50 * time.Millisecond
-	backoffMost  = time.Second
-	// outageMost is how long items are started on what was known before the store
-	// fell silent. A host that is cut off alone is not told of ended jobs.
-	outageMost = 30 * time.Second
-	// unlistedMost bounds the bytes of results that wait for the store: a fifth of
-	// the smallest entry's memory.
-	unlistedMost = 36 << 20
-	// routelessFor is how long an item may be without a route before it is given
-	// up: longer than a storm of configurations lasts.
-	routelessFor = 6 * time.Second
-	// askAgain is left between questions to a partition that does not answer.
-	askAgain = time.Second
-	// choosyFor is how long an item that failed avoids targets: twice as long as one
-	// failure puts a target in doubt. Then any is better than none.
-	choosyFor = 4 * time.Second
-	// clockMargin is how far the wall clocks of two hosts may differ, each set wrong
-	// by two seconds in its own direction, with as much again for chance: an item is
-	// not given up before its time by any of them.
-	clockMargin = 6 * time.Second
+	// dispatchInterval is how often the open items are scanned when nothing changes.
+	dispatchInterval = 100 * time.Millisecond
+	// minDispatchGap is the shortest pause between two scans. Agents report free seats
+	// hundreds of times a second, and each scan goes through all open items.
+	minDispatchGap = 20 * time.Millisecond
+	// maxStateAge is how old the state of a job may be when an item is started. Items
+	// of a job must not start later than three seconds after the client has been told
+	// that the job ended.
+	maxStateAge = 1500 * time.Millisecond
+	// minBackoff and maxBackoff bound the delay before an item is retried after a
+	// failed run.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = time.Second
+	// maxOutage is how long items are started from the last known state while the
+	// store does not answer. A host that alone loses its connection to the store does
+	// not learn of ended jobs.
+	maxOutage = 30 * time.Second
+	// maxUnlistedBytes bounds the results that wait to be listed: a fifth of the memory
+	// of the smallest entry.
+	maxUnlistedBytes = 36 << 20
+	// routelessTimeout is how long an item may be without a route before it is given
+	// up. It is longer than a burst of configuration changes lasts.
+	routelessTimeout = 6 * time.Second
+	// refreshRetryInterval is the pause between refreshes of a partition that does not
+	// answer.
+	refreshRetryInterval = time.Second
+	// avoidFailedFor is how long after a failure an item avoids the targets at which it
+	// failed: twice as long as one failure keeps a target in doubt. After that, any
+	// target is better than none.
+	avoidFailedFor = 4 * time.Second
+	// clockSkewMargin is added to an item's deadline so that no host gives it up early.
+	// Two clocks that are each off by two seconds in opposite directions differ by
+	// four; another two seconds are a reserve.
+	clockSkewMargin = 6 * time.Second
 )
 
-// Runner runs items.
+// Runner runs the items of the partitions that are assigned to this process.
 type Runner struct {
 	cfg Config
 
-	mu       sync.Mutex   // held for memory only
-	mine     map[int]bool // proposed partitions; true once their progress was read
-	work     map[jobstore.ItemKey]*work
-	running  int
-	pace     *schedule.Pace
-	unread   map[int]time.Time      // partitions that did not answer, and when
-	finished map[int][]jobs.Outcome // to be listed, by partition
-	unlisted int                    // bytes of results that are not listed yet
-	leaving  bool
-	wake     chan struct{}
-	list     chan struct{}
+	mu            sync.Mutex   // not held during I/O
+	assigned      map[int]bool // assigned partitions; true once their progress has been loaded
+	items         map[jobstore.ItemKey]*itemState
+	running       int
+	pace          *schedule.Pace
+	refreshFailed map[int]time.Time      // time of the last failed refresh, by partition
+	finished      map[int][]jobs.Outcome // outcomes to be listed, by home partition
+	unlistedBytes int                    // size of the results that are not listed yet
+	leaving       bool
+	wake          chan struct{}
+	wakeLister    chan struct{}
 }
 
-// work is what this process knows of an open item beside the store: how far it
-// came and when it may be tried again.
-type work struct {
-	key       jobstore.ItemKey
-	content   quarantine.Key // set before the first run here
-	part      int
-	running   bool
-	ended     chan struct{} // closed when the run has ended
-	done      bool          // finished, about to be listed
-	cancel    context.CancelCauseFunc
-	saved     uint64    // last event that was kept on the store
-	progress            // guarded by Runner.mu
-	failed    int       // attempts that targets said had failed
-	failedAt  []string  // instances that said so here, guarded by Runner.mu
-	failedOn  time.Time // the last of these
-	never     bool
-	backoff   time.Duration
-	notBefore time.Time
-	noRoute   time.Time // since when the item has no route; zero while it has one
+// itemState is what this process knows of an open item in addition to the store: its
+// progress and when it may be retried. Runner.mu guards all fields but key and
+// contentKey, which do not change once set.
+type itemState struct {
+	key        jobstore.ItemKey
+	contentKey quarantine.Key // set before the first run in this process
+	part       int
+	running    bool
+	ended      chan struct{} // closed when the run ends
+	done       bool          // has an outcome that is being listed
+	cancel     context.CancelCauseFunc
+	savedEvent uint64 // last event whose progress is saved on the store
+	progress
+	failures      int       // attempts that targets answered with a failure
+	failedTargets []string  // instances that did so in this process
+	lastFailure   time.Time // time of the latest of these failures
+	impossible    bool
+	backoff       time.Duration
+	notBefore     time.Time
+	noRouteSince  time.Time // when the route was first missing; zero while there is one
 }
 
-// progress is the output so far.
+// progress is the output of an item so far.
 type progress struct {
-	last uint64 // last whole event
-	text []byte
+	lastEvent uint64 // ID of the last complete event
+	text      []byte
 }
 
 // New returns a Runner.
 func New(cfg Config) *Runner {
 	return &Runner{
-		cfg: cfg, mine: make(map[int]bool), work: make(map[jobstore.ItemKey]*work),
+		cfg: cfg, assigned: make(map[int]bool), items: make(map[jobstore.ItemKey]*itemState),
 		finished: make(map[int][]jobs.Outcome), pace: schedule.NewPace(),
-		unread: make(map[int]time.Time),
-		wake:   make(chan struct{}, 1), list: make(chan struct{}, 1),
+		refreshFailed: make(map[int]time.Time),
+		wake:          make(chan struct{}, 1), wakeLister: make(chan struct{}, 1),
 	}
 }
 
-// Run runs items until ctx ends.
+// Run runs items until ctx is done.
 func (r *Runner) Run(ctx context.Context) {
-	var all sync.WaitGroup
-	for _, loop := range []func(context.Context){r.membership, r.dispatch, r.lister, r.saver, r.sweeper, r.handOffs} {
-		all.Add(1)
+	var wg sync.WaitGroup
+	for _, loop := range []func(context.Context){r.membershipLoop, r.dispatchLoop, r.listLoop, r.saveLoop, r.sweepLoop, r.handOffLoop} {
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			loop(ctx)
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// Wake looks at the open items at once, when a seat may have become free.
+// Wake triggers a scan of the open items, for use when a seat may have become free.
 func (r *Runner) Wake() {
-	poke(r.wake)
+	signal(r.wake)
 }
 
-func poke(ch chan struct{}) {
+// signal wakes the receiver of ch without blocking; pending signals are merged.
+func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
 	}
 }
 
-// candidate is an open item that may be started now.
+// candidate is an open item that is ready to start.
 type candidate struct {
 	open jobstore.OpenItem
 	part int
 	schedule.Item
 }
 
-// dispatch starts open items, the earliest due first.
-func (r *Runner) dispatch(ctx context.Context) {
-	tick := time.NewTicker(lookEvery)
+// dispatchLoop starts open items in the order of package schedule.
+func (r *Runner) dispatchLoop(ctx context.Context) {
+	tick := time.NewTicker(dispatchInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -194,11 +199,11 @@
 			}
 			r.start(ctx, c, full)
 		}
-		_ = wait.For(ctx, lookGap)
+		_ = wait.For(ctx, minDispatchGap)
 	}
 }
 
-// partitions returns the partitions whose items may be started here.
+// partitions returns the assigned partitions whose progress has been loaded, sorted.
 func (r *Runner) partitions() []int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -206,7 +211,7 @@
 		return nil
 	}
 	var out []int
-	for p, loaded := range r.mine {
+	for p, loaded := range r.assigned {
 		if loaded {
 			out = append(out, p)
 		}
@@ -215,8 +220,8 @@
 	return out
 }
 
-// candidates returns the items of this process's partitions that may start now,
-// and stops what must not run any more.
+// candidates returns the ready items of this process's partitions in dispatch order,
+// and cancels the runs of items that are no longer open.
 func (r *Runner) candidates(now time.Time) []candidate {
 	var out []candidate
 	parts := r.partitions()
@@ -224,114 +229,119 @@
 	for _, part := range parts {
 		for _, it := range r.cfg.Store.Open(part) {
 			open[it.Key()] = true
-			if r.mayStart(now, part, it) {
+			if r.ready(now, part, it) {
 				out = append(out, candidate{open: it, part: part})
 			}
 		}
 	}
-	r.stopClosed(parts, open)
-	return r.order(now, out)
+	r.cancelClosed(parts, open)
+	return r.sorted(now, out)
 }
 
-// order puts the items in the order in which they are to get seats.
-func (r *Runner) order(now time.Time, all []candidate) []candidate {
+// sorted sorts the candidates by the order in which they get seats.
+func (r *Runner) sorted(now time.Time, cs []candidate) []candidate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i := range all {
-		c := &all[i]
-		w := r.work[c.open.Key()]
+	for i := range cs {
+		c := &cs[i]
+		st := r.items[c.open.Key()]
 		c.Item = schedule.Item{
 			Due:   time.UnixMilli(c.open.Spec.GetDueUnixMs()),
-			Left:  r.pace.Left(w.last),
-			Begun: w.last > 0,
+			Left:  r.pace.Left(st.lastEvent),
+			Begun: st.lastEvent > 0,
 		}
 	}
-	slices.SortStableFunc(all, func(a, b candidate) int {
+	slices.SortStableFunc(cs, func(a, b candidate) int {
 		if c := schedule.Compare(now, a.Item, b.Item); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.open.Index, b.open.Index)
 	})
-	return all
+	return cs
 }
 
-func (r *Runner) mayStart(now time.Time, part int, it jobstore.OpenItem) bool {
+// ready reports whether an item is neither running, done nor backing off. It merges the
+// failures that the store knows into the item's state.
+func (r *Runner) ready(now time.Time, part int, it jobstore.OpenItem) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.workLocked(it.Key(), part)
-	if w.content == (quarantine.Key{}) {
-		w.content = contentOf(it)
+	st := r.itemLocked(it.Key(), part)
+	if st.contentKey == (quarantine.Key{}) {
+		st.contentKey = contentKeyOf(it)
 	}
-	w.failed = max(w.failed, it.Failed)
-	w.never = w.never || it.Impossible
-	return !w.running && !w.done && !now.Before(w.notBefore)
+	st.failures = max(st.failures, it.Failed)
+	st.impossible = st.impossible || it.Impossible
+	return !st.running && !st.done && !now.Before(st.notBefore)
 }
 
-func (r *Runner) workLocked(k jobstore.ItemKey, part int) *work {
-	w := r.work[k]
-	if w == nil {
-		w = &work{key: k, part: part}
-		r.work[k] = w
+// itemLocked returns the state of an item and creates it if needed. The caller holds r.mu.
+func (r *Runner) itemLocked(k jobstore.ItemKey, part int) *itemState {
+	st := r.items[k]
+	if st == nil {
+		st = &itemState{key: k, part: part}
+		r.items[k] = st
 	}
-	return w
+	return st
 }
 
-// contentOf returns the key under which crashes of targets count against an item.
-func contentOf(it jobstore.OpenItem) quarantine.Key {
+// contentKeyOf returns the quarantine key under which target crashes are counted for an
+// item.
+func contentKeyOf(it jobstore.OpenItem) quarantine.Key {
 	return quarantine.NewKey(it.Spec.GetCaller(), http.MethodPost, it.Spec.GetHost(), it.Item.GetPath(), it.Item.GetBody())
 }
 
-// errClosed says that an item is not open any more.
-var errClosed = errors.New("item is not open any more")
+// errItemClosed is the cancellation cause of a run whose item is no longer open.
+var errItemClosed = errors.New("item is no longer open")
 
-// stopClosed ends the runs of items in these partitions that are not open any
-// more, and forgets them.
-func (r *Runner) stopClosed(parts []int, open map[jobstore.ItemKey]bool) {
+// cancelClosed cancels the runs of items in these partitions that are no longer open,
+// and removes the state of those that do not run.
+func (r *Runner) cancelClosed(parts []int, open map[jobstore.ItemKey]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for k, w := range r.work {
+	for k, st := range r.items {
 		switch {
-		case open[k] || !slices.Contains(parts, w.part):
-		case w.running:
-			w.cancel(errClosed)
+		case open[k] || !slices.Contains(parts, st.part):
+		case st.running:
+			st.cancel(errItemClosed)
 		default:
-			delete(r.work, k)
+			delete(r.items, k)
 		}
 	}
 }
 
-// start starts one item when a seat is free.
+// start runs one item if a seat is free. It adds services without a free seat to full.
 func (r *Runner) start(ctx context.Context, c candidate, full map[string]bool) {
 	r.mu.Lock()
-	w := r.work[c.open.Key()]
-	busy := r.running >= r.cfg.MaxRunning || w == nil
+	st := r.items[c.open.Key()]
+	busy := r.running >= r.cfg.MaxRunning || st == nil
 	r.mu.Unlock()
-	if busy || r.settled(c, w) {
+	if busy || r.giveUpIfNeeded(c, st) {
 		return
 	}
-	// It stays open: it may be sound, and an item may be given up only when its time is
-	// over. Other items would be cut off at each target that it crashes.
-	if _, held := r.cfg.Quarantine.Held(w.content); held {
+	// A quarantined item stays open: it may be harmless, and an item may be given up only
+	// after its deadline. Running it would cut off other items at each target that it
+	// crashes.
+	if _, held := r.cfg.Quarantine.Held(st.contentKey); held {
 		return
 	}
 	service, ok := r.service(c)
 	if !ok || full[service] {
 		return
 	}
-	if !r.stillOpen(ctx, c) {
+	if !r.jobStateUsable(ctx, c) {
 		return
 	}
-	seat, in := r.seat(ctx, service, r.failedAt(w), c.YieldRank(time.Now()))
+	seat, in := r.acquireSeat(ctx, service, r.targetsToAvoid(st), c.YieldRank(time.Now()))
 	if seat == nil {
-		// An item that failed before is choosy; others may still find a seat.
-		full[service] = full[service] || len(r.failedAt(w)) == 0
+		// An item that failed before avoids some targets; others may still find a seat.
+		full[service] = full[service] || len(r.targetsToAvoid(st)) == 0
 		return
 	}
 	run, cancel := context.WithCancelCause(ctx)
 	r.mu.Lock()
-	allowed := !r.leaving && r.mine[c.part]
+	allowed := !r.leaving && r.assigned[c.part]
 	if allowed {
-		w.running, w.cancel, w.ended = true, cancel, make(chan struct{})
+		st.running, st.cancel, st.ended = true, cancel, make(chan struct{})
 		r.running++
 	}
 	r.mu.Unlock()
@@ -343,29 +353,29 @@
 	go func() {
 		defer cancel(nil)
 		defer seat.Close()
-		r.run(run, cancel, c, w, in, seat)
+		r.run(run, cancel, c, st, in, seat)
 	}()
 }
 
-// failedAt returns the targets that an item is to avoid, for choosyFor after it has
-// failed.
-func (r *Runner) failedAt(w *work) []string {
+// targetsToAvoid returns the targets at which an item failed, until avoidFailedFor has
+// passed since its last failure.
+func (r *Runner) targetsToAvoid(st *itemState) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(w.failedOn) > choosyFor {
+	if time.Since(st.lastFailure) > avoidFailedFor {
 		return nil
 	}
-	return slices.Clone(w.failedAt)
+	return slices.Clone(st.failedTargets)
 }
 
-// stillOpen reports whether an item may be started by what is known of its job.
-// While the store does not answer, items of accepted jobs go on: nobody can end a
-// job meanwhile, and waiting left half of the slots idle through an outage. What
-// finishes is held until it can be listed, up to unlistedMost.
-func (r *Runner) stillOpen(ctx context.Context, c candidate) bool {
-	if c.open.HandOff != nil && r.refreshed(ctx, c.open.Home) {
-		// Its own partition answers, and may have the job already: a hint that was
-		// written beside it is not run. It is handed off or dropped within moments.
+// jobStateUsable reports whether the known state of an item's job is recent enough to
+// start the item. While the store does not answer, items of accepted jobs still start:
+// no client can end a job meanwhile, and waiting left half of the slots idle during an
+// outage. Results are held until they can be listed, up to maxUnlistedBytes.
+func (r *Runner) jobStateUsable(ctx context.Context, c candidate) bool {
+	if c.open.HandOff != nil && r.refresh(ctx, c.open.Home) {
+		// The job's home partition answers and may already have the job, so its hint is
+		// not run. The hint is handed off or dropped shortly.
 		return false
 	}
 	parts := []int{c.part}
@@ -373,96 +383,98 @@
 		parts = append(parts, c.open.Home)
 	}
 	for _, part := range parts {
-		if r.refreshed(ctx, part) {
+		if r.refresh(ctx, part) {
 			continue
 		}
-		if time.Since(r.cfg.Store.AsOf(part)) > outageMost || !r.mayHold() {
+		if time.Since(r.cfg.Store.AsOf(part)) > maxOutage || !r.mayHoldResult() {
 			return false
 		}
 	}
 	return true
 }
 
-// refreshed makes sure that a partition's state is fresh enough to start items. A
-// partition that did not answer is not asked for each item: one that is silent took a
-// second each time, and items of all other partitions waited behind it.
-func (r *Runner) refreshed(ctx context.Context, part int) bool {
+// refresh brings a partition's state up to date and reports whether it is recent enough
+// to start items. A partition that did not answer is not asked again for each item: each
+// request to a silent partition takes a second, and the items of all other partitions
+// wait behind it.
+func (r *Runner) refresh(ctx context.Context, part int) bool {
 	r.mu.Lock()
-	wait := time.Since(r.unread[part]) < askAgain
+	backingOff := time.Since(r.refreshFailed[part]) < refreshRetryInterval
 	r.mu.Unlock()
-	if wait {
-		return time.Since(r.cfg.Store.AsOf(part)) <= startAge
+	if backingOff {
+		return time.Since(r.cfg.Store.AsOf(part)) <= maxStateAge
 	}
-	if r.cfg.Store.Refresh(ctx, part, startAge) == nil {
+	if r.cfg.Store.Refresh(ctx, part, maxStateAge) == nil {
 		return true
 	}
 	r.mu.Lock()
-	r.unread[part] = time.Now()
+	r.refreshFailed[part] = time.Now()
 	r.mu.Unlock()
 	return false
 }
 
-// mayHold reports whether one more result may wait for the store.
-func (r *Runner) mayHold() bool {
+// mayHoldResult reports whether one more result may wait to be listed.
+func (r *Runner) mayHoldResult() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.unlisted < unlistedMost
+	return r.unlistedBytes < maxUnlistedBytes
 }
 
-// settled lists an item that needs no run: it can never be done, failed too
-// often, or may be given up.
-func (r *Runner) settled(c candidate, w *work) bool {
+// giveUpIfNeeded lists an item as given up if a target reported it as impossible, it
+// failed too often, its deadline has passed or its route was removed. It reports whether
+// it did so.
+func (r *Runner) giveUpIfNeeded(c candidate, st *itemState) bool {
 	r.mu.Lock()
-	failed, never := w.failed, w.never
+	failed, impossible := st.failures, st.impossible
 	r.mu.Unlock()
 	now := time.Now()
-	route, routeless := r.route(c), r.routeless(now, c, w)
+	route, routeless := r.route(c), r.routeless(now, c, st)
 	attempts := 1
 	if route != nil {
 		attempts = max(route.Attempts, 1)
 	}
-	late := now.After(time.UnixMilli(c.open.Spec.GetAbandonUnixMs()).Add(clockMargin))
-	if !never && failed < attempts && !late && !routeless {
+	late := now.After(time.UnixMilli(c.open.Spec.GetAbandonUnixMs()).Add(clockSkewMargin))
+	if !impossible && failed < attempts && !late && !routeless {
 		return false
 	}
 	why := "failed too often"
 	switch {
-	case never:
-		why = "a target says that it can never be done"
+	case impossible:
+		why = "a target reported that it cannot be processed"
 	case late:
-		why = "its time is over"
+		why = "its deadline has passed"
 	case routeless:
 		why = "its route was removed"
 	}
 	r.cfg.Log.Warn("item given up", logging.F("job", c.open.Job), logging.F("item", c.open.Item.GetId()),
 		logging.F("why", why), logging.F("failed", failed))
 	r.cfg.Metrics.Count("item_given_up")
-	r.finish(w, c, jobs.Outcome{Job: c.open.Job, Item: c.open.Index, Dead: true})
+	r.finish(st, c, jobs.Outcome{Job: c.open.Job, Item: c.open.Index, Dead: true})
 	return true
 }
 
-// routeless reports whether an item has had no route for routelessFor. A route
-// may be missing for a moment while configurations follow each other.
-func (r *Runner) routeless(now time.Time, c candidate, w *work) bool {
+// routeless reports whether an item has had no route for routelessTimeout. A route may
+// be missing briefly during successive configuration changes.
+func (r *Runner) routeless(now time.Time, c candidate, st *itemState) bool {
 	known, route := r.cfg.View.Catalog() != nil, r.route(c)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case !known || route != nil:
-		w.noRoute = time.Time{}
-	case w.noRoute.IsZero():
-		w.noRoute = now
+		st.noRouteSince = time.Time{}
+	case st.noRouteSince.IsZero():
+		st.noRouteSince = now
 	}
-	return !w.noRoute.IsZero() && now.Sub(w.noRoute) >= routelessFor
+	return !st.noRouteSince.IsZero() && now.Sub(st.noRouteSince) >= routelessTimeout
 }
 
-// finish has an outcome listed at its job's own partition.
-func (r *Runner) finish(w *work, c candidate, o jobs.Outcome) {
+// finish queues an outcome to be listed at the home partition of its job.
+func (r *Runner) finish(st *itemState, c candidate, o jobs.Outcome) {
 	o.HandOff, o.Due = c.open.HandOff, time.UnixMilli(c.open.Spec.GetDueUnixMs())
 	r.mu.Lock()
-	w.done = true
-	r.unlisted += len(o.Text)
+	st.done = true
+	r.unlistedBytes += len(o.Text)
 	r.finished[c.open.Home] = append(r.finished[c.open.Home], o)
 	r.mu.Unlock()
-	poke(r.list)
+	signal(r.wakeLister)
 }
--- a/runner/upkeep.go
+++ b/runner/upkeep.go
@@ -11,46 +11,47 @@
 	"pumiceford/logging"
 )
 
-// Intervals of upkeep.
+// Intervals and timeouts of the background loops.
 const (
-	// listEvery gathers results that finish together into one append. It is small
-	// beside the five seconds that an item runs.
-	listEvery = 40 * time.Millisecond
-	// listTimeout bounds one attempt to list, listPause is left after it.
-	listTimeout = 3 * time.Second
-	listPause   = 100 * time.Millisecond
-	// saveEvery is how often the progress of running items is kept: what a crash
-	// repeats of an item's five seconds. 25 running items cost 12 records each
+	// listDelay is the wait before results are listed, so that results that finish
+	// together share one append. It is short compared to the five seconds of a run.
+	listDelay = 40 * time.Millisecond
+	// storeTimeout bounds one request of these loops to the store.
+	storeTimeout = 3 * time.Second
+	// listRetryPause is the pause after a failed attempt to list results.
+	listRetryPause = 100 * time.Millisecond
+	// saveInterval is how often the progress of running items is saved. A crash repeats
+	// up to that much of an item's five seconds. 25 running items cost 12 records per
 	// second for the whole fleet.
-	saveEvery = 1500 * time.Millisecond
-	// handOffEvery is how often jobs that are kept for another partition are looked
-	// for: their results are readable that much later.
-	handOffEvery = 250 * time.Millisecond
-	// sweepEvery is how often jobs that are over are looked for.
-	sweepEvery = 30 * time.Second
+	saveInterval = 1500 * time.Millisecond
+	// handOffInterval is how often hints are handed off to their home partitions. It
+	// delays the results of these jobs.
+	handOffInterval = 250 * time.Millisecond
+	// sweepInterval is how often expired jobs are dropped.
+	sweepInterval = 30 * time.Second
 )
 
-// sweeper drops jobs that need not be readable any more.
-func (r *Runner) sweeper(ctx context.Context) {
-	for wait.For(ctx, sweepEvery) == nil {
+// sweepLoop drops jobs whose retention period has passed.
+func (r *Runner) sweepLoop(ctx context.Context) {
+	for wait.For(ctx, sweepInterval) == nil {
 		for _, p := range r.partitions() {
-			one, cancel := context.WithTimeout(ctx, listTimeout)
-			if err := r.cfg.Store.Sweep(one, p, time.Now()); err != nil {
-				r.cfg.Log.Warn("old jobs not dropped; tried again later", logging.F("partition", p), logging.F("error", err.Error()))
+			callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
+			if err := r.cfg.Store.Sweep(callCtx, p, time.Now()); err != nil {
+				r.cfg.Log.Warn("expired jobs not dropped; will retry", logging.F("partition", p), logging.F("error", err.Error()))
 			}
 			cancel()
 		}
 	}
 }
 
-// handOffs brings jobs that were taken in while their own partitions were away to
-// these.
-func (r *Runner) handOffs(ctx context.Context) {
-	for wait.For(ctx, handOffEvery) == nil {
+// handOffLoop hands off jobs that were accepted at another partition, because their home
+// partition was unavailable, to the home partition.
+func (r *Runner) handOffLoop(ctx context.Context) {
+	for wait.For(ctx, handOffInterval) == nil {
 		for _, p := range r.partitions() {
-			one, cancel := context.WithTimeout(ctx, listTimeout)
-			// What fails is tried again; the job store's own line tells of it.
-			if r.cfg.Store.HandOff(one, p) != nil {
+			callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
+			// Failures are retried; the job store logs them.
+			if r.cfg.Store.HandOff(callCtx, p) != nil {
 				r.cfg.Metrics.Count("hand_off_failures")
 			}
 			cancel()
@@ -58,54 +59,55 @@
 	}
 }
 
-// saver keeps the progress of running items.
-func (r *Runner) saver(ctx context.Context) {
-	for wait.For(ctx, saveEvery) == nil {
+// saveLoop saves the progress of running items.
+func (r *Runner) saveLoop(ctx context.Context) {
+	for wait.For(ctx, saveInterval) == nil {
 		for _, p := range r.partitions() {
-			one, cancel := context.WithTimeout(ctx, listTimeout)
-			r.save(one, p)
+			callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
+			r.saveProgress(callCtx, p)
 			cancel()
 		}
 	}
 }
 
-// lister lists finished items, those of a partition together.
-func (r *Runner) lister(ctx context.Context) {
+// listLoop lists finished items in batches.
+func (r *Runner) listLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.list:
+		case <-r.wakeLister:
 		}
-		_ = wait.For(ctx, listEvery)
-		// In its own goroutine: a partition whose append waits for the store must
-		// not hold up the others.
-		go r.listAll(ctx)
+		_ = wait.For(ctx, listDelay)
+		// A goroutine per batch, because a partition whose append waits for the store
+		// must not delay the others.
+		go r.listFinished(ctx)
 	}
 }
 
-// listAll lists what has finished and waits for it.
-func (r *Runner) listAll(ctx context.Context) {
+// listFinished lists all finished items, by partition, and waits until that is done.
+func (r *Runner) listFinished(ctx context.Context) {
 	r.mu.Lock()
 	batch := r.finished
 	r.finished = make(map[int][]jobs.Outcome)
 	r.mu.Unlock()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for part, outs := range batch {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
-			r.listOne(ctx, part, outs)
+			defer wg.Done()
+			r.listPartition(ctx, part, outs)
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// listOne lists outcomes of one partition until the store has them or ctx ends.
-func (r *Runner) listOne(ctx context.Context, part int, outs []jobs.Outcome) {
+// listPartition lists outcomes of one partition. It retries until the store has them or ctx
+// is done.
+func (r *Runner) listPartition(ctx context.Context, part int, outs []jobs.Outcome) {
 	for ctx.Err() == nil {
-		one, cancel := context.WithTimeout(ctx, listTimeout)
-		err := r.cfg.Store.List(one, part, outs)
+		callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
+		err := r.cfg.Store.List(callCtx, part, outs)
 		cancel()
 		if err == nil {
 			for _, o := range outs {
@@ -114,32 +116,32 @@
 					logging.F("dead", o.Dead), logging.F("bytes", len(o.Text)), logging.F("partition", part),
 					logging.F("late_ms", time.Since(o.Due).Milliseconds()))
 			}
-			r.forget(ctx, outs)
+			r.dropProgress(ctx, outs)
 			return
 		}
-		r.cfg.Log.Warn("results not listed; tried again", logging.F("partition", part),
+		r.cfg.Log.Warn("results not listed; will retry", logging.F("partition", part),
 			logging.F("results", len(outs)), logging.F("error", err.Error()))
-		_ = wait.For(ctx, listPause)
+		_ = wait.For(ctx, listRetryPause)
 	}
 }
 
-// forget drops the progress that was kept of listed items.
-func (r *Runner) forget(ctx context.Context, outs []jobs.Outcome) {
+// dropProgress deletes the saved progress of listed items.
+func (r *Runner) dropProgress(ctx context.Context, outs []jobs.Outcome) {
 	drop := make(map[int][]jobstore.Progress) // by the partition that ran the item
 	r.mu.Lock()
 	for _, o := range outs {
-		r.unlisted -= len(o.Text)
+		r.unlistedBytes -= len(o.Text)
 		k := jobstore.ItemKey{Job: o.Job, Item: o.Item}
-		if w := r.work[k]; w != nil && w.saved > 0 {
-			drop[w.part] = append(drop[w.part], jobstore.Progress{Key: k, Done: true})
+		if st := r.items[k]; st != nil && st.savedEvent > 0 {
+			drop[st.part] = append(drop[st.part], jobstore.Progress{Key: k, Done: true})
 		}
 	}
 	r.mu.Unlock()
-	one, cancel := context.WithTimeout(ctx, listTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	for part, all := range drop {
-		if err := r.cfg.Store.SaveProgress(one, part, all); err != nil {
-			// It stays until the store's room is looked through; nothing reads it.
+		if err := r.cfg.Store.SaveProgress(callCtx, part, all); err != nil {
+			// The record remains until the store reclaims its space; nothing uses it.
 			r.cfg.Metrics.Count("progress_not_dropped")
 		}
 	}
