--- a/jobs/decide.go
+++ b/jobs/decide.go
@@ -13,30 +13,31 @@
 // Outcome is a finished item that is to be listed.
 type Outcome struct {
 	Job  string
-	Item int
-	Dead bool
+	Item int  // index in the spec
+	Dead bool // the item was given up without a result
 	Text []byte
-	// HandOff is the job's spec when it was taken in elsewhere: a partition that
-	// does not have it yet takes it in together with its first results.
+	// HandOff is the job's spec if another partition accepted the job. A home
+	// partition that does not have the job yet accepts it with its first results.
 	HandOff *wire.JobSpec
 	Due     time.Time // for the log only
 }
 
-// Accept returns the records that take a job in, none when it is there already.
+// Accept returns the records that accept a job, or none if the table already has it.
 func (t *Table) Accept(spec *wire.JobSpec) ([]store.Record, error) {
 	if t.Get(spec.GetId()) != nil {
 		return nil, nil
 	}
-	return split(spec.GetId(), kindSpec, 0, spec)
+	return encodeRecords(spec.GetId(), kindSpec, 0, spec)
 }
 
-// HintRecords returns the records by which a partition keeps a job for another.
+// HintRecords returns the records that store a job as a hint at a partition other than its
+// home partition.
 func HintRecords(spec *wire.JobSpec) ([]store.Record, error) {
-	return split(spec.GetId(), kindHint, 0, spec)
+	return encodeRecords(spec.GetId(), kindHint, 0, spec)
 }
 
-// DropHint returns the records that forget a job that was taken in for another
-// partition.
+// DropHint returns the tombstones that remove the hint of a job, or none if there is no
+// hint.
 func (t *Table) DropHint(id string) []store.Record {
 	if t.Hint(id) == nil {
 		return nil
@@ -48,19 +49,19 @@
 	return out
 }
 
-// End returns the record that ends a job, none when it has ended or is unknown.
+// End returns the record that ends a job, or none if the job has ended or is unknown.
 func (t *Table) End(id string) ([]store.Record, error) {
 	j := t.Get(id)
 	if j == nil || j.Ended {
 		return nil, nil
 	}
-	return split(id, kindEnd, 0, &emptypb.Empty{}) // that it is there says all
+	return encodeRecords(id, kindEnd, 0, &emptypb.Empty{}) // the key alone carries the meaning
 }
 
-// List returns the records that list outcomes at the next free positions. An
-// item that is listed already, or whose job is gone, is left out. A job that has
-// still to be handed off is taken in first; its outcomes are listed on the state
-// after that.
+// List returns the records that list outcomes at the next free positions. It leaves out
+// items that are already listed and items of unknown jobs. If a job has yet to be handed
+// off, List returns only the records that accept it; the caller folds these and calls
+// List again.
 func (t *Table) List(outcomes []Outcome) ([]store.Record, error) {
 	for _, o := range outcomes {
 		if o.HandOff != nil && t.Get(o.Job) == nil {
@@ -69,41 +70,42 @@
 	}
 	var out []store.Record
 	next := make(map[string]int)
-	taken := make(map[string]map[int]bool)
+	added := make(map[string]map[int]bool)
 	for _, o := range outcomes {
 		j := t.Get(o.Job)
-		if j == nil || j.Done(o.Item) || taken[o.Job][o.Item] {
+		if j == nil || j.Done(o.Item) || added[o.Job][o.Item] {
 			continue
 		}
-		if taken[o.Job] == nil {
-			taken[o.Job] = make(map[int]bool)
+		if added[o.Job] == nil {
+			added[o.Job] = make(map[int]bool)
 			next[o.Job] = len(j.results)
 		}
-		recs, err := split(o.Job, kindResult, next[o.Job], &wire.ItemOutcome{Item: uint32(o.Item), Dead: o.Dead, Text: o.Text})
+		recs, err := encodeRecords(o.Job, kindResult, next[o.Job], &wire.ItemOutcome{Item: uint32(o.Item), Dead: o.Dead, Text: o.Text})
 		if err != nil {
 			return nil, err
 		}
-		taken[o.Job][o.Item] = true
+		added[o.Job][o.Item] = true
 		next[o.Job]++
 		out = append(out, recs...)
 	}
 	return out, nil
 }
 
-// Fail returns the record that adds a failed attempt of an item.
+// Fail returns the records that store the number of failed attempts of an item and whether
+// the item is impossible. It returns none if the table already knows as much.
 func (t *Table) Fail(id string, item, failed int, impossible bool) ([]store.Record, error) {
 	j := t.Get(id)
 	if j == nil || j.Done(item) {
 		return nil, nil
 	}
-	if known, never := j.Failures(item); known >= failed && (never || !impossible) {
+	if knownFailed, knownImpossible := j.Failures(item); knownFailed >= failed && (knownImpossible || !impossible) {
 		return nil, nil
 	}
-	return split(id, kindFailures, item, &wire.ItemFailures{Failed: uint32(failed), Impossible: impossible})
+	return encodeRecords(id, kindFailures, item, &wire.ItemFailures{Failed: uint32(failed), Impossible: impossible})
 }
 
-// Expired returns the records that drop all jobs which need not be readable any
-// more: those that are not open, keep after they were accepted.
+// Expired returns the tombstones of all jobs that are not open and were accepted at least
+// keep before now.
 func (t *Table) Expired(now time.Time, keep time.Duration) []store.Record {
 	var out []store.Record
 	for _, j := range t.Jobs() {
@@ -117,8 +119,8 @@
 	return out
 }
 
-// Same reports whether two specs ask for the same work. When they came and where
-// they run is left out: a client that got no answer sends its job again later.
+// Same reports whether two specs ask for the same work. It ignores when they were accepted
+// and where they run, because a client that got no answer sends its job again later.
 func Same(a, b *wire.JobSpec) bool {
 	if a.GetHost() != b.GetHost() || a.GetPath() != b.GetPath() || len(a.GetItems()) != len(b.GetItems()) {
 		return false
--- a/jobs/jobs.go
+++ b/jobs/jobs.go
@@ -1,10 +1,10 @@
-// Package jobs folds the records of one store partition into batch jobs. It is
-// pure: records come in, and what to append comes out.
+// Package jobs folds the records of one store partition into batch jobs. It does no I/O:
+// its functions take records in and return the records to append.
 //
-// Every value is written once and never changed, so records may be folded twice
-// or in another order and give the same jobs. What may be appended is decided on
-// the folded state and appended only if the partition still ends where that state
-// ends; of two writers with the same state one is turned away and looks again.
+// Every value is written once and never changed, so folding records twice or in another
+// order gives the same jobs. A caller decides what to append on the folded state and
+// appends it only if the partition still ends where that state ends. Of two writers with
+// the same state, one is rejected, folds the new records and decides again.
 package jobs
 
 import (
@@ -19,9 +19,9 @@
 	"pumiceford/wire"
 )
 
-// chunkBytes is the most that one record carries of a value: under the store's
-// 256 KiB a record, with room for the key and the frame.
-const chunkBytes = 200 << 10
+// maxChunkBytes is the largest part of a value that one record carries. It leaves room for
+// the key and the framing within the store's record limit of 256 KiB.
+const maxChunkBytes = 200 << 10
 
 // Kinds of keys. A key is JOB/KIND/NUMBER/CHUNK.
 const (
@@ -29,33 +29,34 @@
 	kindResult   = "result"   // by position
 	kindFailures = "failures" // by item
 	kindEnd      = "end"
-	// kindHint is a job that was taken in here because the partition of its id
-	// was away. It is handed off to that partition, where all else of it is.
+	// kindHint is the spec of a job that this partition accepted because the job's home
+	// partition was unavailable. The hint is handed off to the home partition, which
+	// holds all other records of the job.
 	kindHint = "hint"
 )
 
 // Result is one listed result.
 type Result struct {
-	Item int // index in the spec
-	Dead bool
+	Item int  // index in the spec
+	Dead bool // the item was given up without a result
 	Text []byte
 }
 
 // Job is the state of one job.
 type Job struct {
 	ID    string
-	Spec  *wire.JobSpec // nil until all of it was read
-	Ended bool          // its client ended it
-	hint  *wire.JobSpec // nil unless the job was taken in for another partition
+	Spec  *wire.JobSpec // nil until all its chunks have been folded
+	Ended bool          // the client ended the job
+	hint  *wire.JobSpec // nil unless the job was accepted for another partition
 
 	results  map[int]*Result // by position
 	listed   map[int]bool    // by item
 	failures map[int]*wire.ItemFailures
-	parts    map[string]*partial // values of which chunks are missing
-	keys     map[string]struct{} // all live keys, for removal
+	partials map[string]*partial // values with missing chunks
+	keys     map[string]struct{} // all live keys, for tombstones
 }
 
-// partial is a value of several chunks.
+// partial is a value of several chunks, some of which are missing.
 type partial struct {
 	total  int
 	chunks map[int][]byte
@@ -66,7 +67,7 @@
 	return len(j.Spec.GetItems())
 }
 
-// Listed returns how many results can be read, from position 0 without gaps.
+// Listed returns the number of results from position 0 up to the first gap.
 func (j *Job) Listed() int {
 	n := 0
 	for j.results[n] != nil {
@@ -75,7 +76,7 @@
 	return n
 }
 
-// Result returns the result at a position, nil when there is none yet.
+// Result returns the result at a position, or nil if there is none yet.
 func (j *Job) Result(position int) *Result {
 	return j.results[position]
 }
@@ -95,8 +96,8 @@
 	return j.Spec != nil && !j.Ended && !j.Complete()
 }
 
-// Failures returns the failed attempts of an item that were written down, and
-// whether a target said that it can never be done.
+// Failures returns the stored number of failed attempts of an item, and whether a target
+// reported that the item can never be processed.
 func (j *Job) Failures(item int) (failed int, impossible bool) {
 	f := j.failures[item]
 	return int(f.GetFailed()), f.GetImpossible()
@@ -105,17 +106,17 @@
 // Table holds the jobs of a partition. It is not safe for concurrent use.
 type Table struct {
 	jobs map[string]*Job
-	// unreadable is told of each record that cannot be folded.
-	unreadable func(key string, err error)
+	// onUnreadable is called for each record that cannot be folded.
+	onUnreadable func(key string, err error)
 }
 
-// NewTable returns an empty Table. A record that cannot be folded is left out, and
-// unreadable is told of it.
-func NewTable(unreadable func(key string, err error)) *Table {
-	return &Table{jobs: make(map[string]*Job), unreadable: unreadable}
+// NewTable returns an empty Table. It calls onUnreadable for each record that cannot be
+// folded, and skips the record.
+func NewTable(onUnreadable func(key string, err error)) *Table {
+	return &Table{jobs: make(map[string]*Job), onUnreadable: onUnreadable}
 }
 
-// Get returns a job whose spec is whole, nil when there is none.
+// Get returns a job whose spec is complete, or nil if there is none.
 func (t *Table) Get(id string) *Job {
 	if j := t.jobs[id]; j != nil && j.Spec != nil {
 		return j
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// Jobs returns all jobs whose spec is whole.
+// Jobs returns all jobs whose spec is complete, in no particular order.
 func (t *Table) Jobs() []*Job {
 	var out []*Job
 	for _, j := range t.jobs {
@@ -134,8 +135,8 @@
 	return out
 }
 
-// Hint returns a job that was taken in here for another partition, nil when there
-// is none.
+// Hint returns the spec of a job that was accepted here for another partition, or nil if
+// there is none.
 func (t *Table) Hint(id string) *wire.JobSpec {
 	if j := t.jobs[id]; j != nil {
 		return j.hint
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// Hints returns all jobs that were taken in here for other partitions.
+// Hints returns the specs of all jobs that were accepted here for other partitions.
 func (t *Table) Hints() []*wire.JobSpec {
 	var out []*wire.JobSpec
 	for _, j := range t.jobs {
@@ -164,21 +165,22 @@
 func (t *Table) Apply(recs ...store.Record) {
 	for _, r := range recs {
 		if err := t.apply(r); err != nil {
-			t.unreadable(r.Key, err)
+			t.onUnreadable(r.Key, err)
 		}
 	}
 }
 
-// errForeign says that a record is none of ours.
-var errForeign = errors.New("record of no known kind")
+// errMalformedKey is the error for a key that does not follow the key layout.
+var errMalformedKey = errors.New("record key does not have the form JOB/KIND/NUMBER/CHUNK")
 
+// apply folds one record. A record without a value is a tombstone.
 func (t *Table) apply(r store.Record) error {
 	id, kind, number, chunk, err := parseKey(r.Key)
 	if err != nil {
 		return err
 	}
 	if len(r.Value) == 0 {
-		t.drop(id, r.Key)
+		t.removeKey(id, r.Key)
 		return nil
 	}
 	j := t.jobs[id]
@@ -188,7 +190,7 @@
 			results:  make(map[int]*Result),
 			listed:   make(map[int]bool),
 			failures: make(map[int]*wire.ItemFailures),
-			parts:    make(map[string]*partial),
+			partials: make(map[string]*partial),
 			keys:     make(map[string]struct{}),
 		}
 		t.jobs[id] = j
@@ -198,15 +200,15 @@
 	if err := proto.Unmarshal(r.Value, &c); err != nil {
 		return err
 	}
-	data, whole := j.assemble(kind+"/"+strconv.Itoa(number), chunk, &c)
-	if !whole {
+	data, complete := j.assemble(kind+"/"+strconv.Itoa(number), chunk, &c)
+	if !complete {
 		return nil
 	}
-	return j.take(kind, number, data)
+	return j.setValue(kind, number, data)
 }
 
-// drop forgets a key of a job that is no longer kept. The job goes with its last.
-func (t *Table) drop(id, key string) {
+// removeKey removes a key of a job, and the job along with its last key.
+func (t *Table) removeKey(id, key string) {
 	j := t.jobs[id]
 	if j == nil {
 		return
@@ -217,14 +219,16 @@
 	}
 }
 
+// assemble adds a chunk to a value. It returns the value once all chunks are there, and
+// reports whether they are.
 func (j *Job) assemble(value string, chunk int, c *wire.Chunk) ([]byte, bool) {
 	if c.GetTotal() <= 1 {
 		return c.GetData(), true
 	}
-	p := j.parts[value]
+	p := j.partials[value]
 	if p == nil {
 		p = &partial{total: int(c.GetTotal()), chunks: make(map[int][]byte)}
-		j.parts[value] = p
+		j.partials[value] = p
 	}
 	p.chunks[chunk] = c.GetData()
 	if len(p.chunks) < p.total {
@@ -234,11 +238,12 @@
 	for i := range p.total {
 		all = append(all, p.chunks[i]...)
 	}
-	delete(j.parts, value)
+	delete(j.partials, value)
 	return all, true
 }
 
-func (j *Job) take(kind string, number int, data []byte) error {
+// setValue folds a complete value into the job. Unknown kinds are ignored.
+func (j *Job) setValue(kind string, number int, data []byte) error {
 	switch kind {
 	case kindSpec:
 		spec := &wire.JobSpec{}
@@ -252,7 +257,7 @@
 			return err
 		}
 		if j.results[number] != nil || j.listed[int(r.GetItem())] {
-			return nil // folded twice
+			return nil // the first result of a position or an item stays
 		}
 		j.results[number] = &Result{Item: int(r.GetItem()), Dead: r.GetDead(), Text: r.GetText()}
 		j.listed[int(r.GetItem())] = true
@@ -280,45 +285,46 @@
 // Key layout.
 const (
 	keyParts = 4
-	// numberFormat keeps keys of a job in their order.
-	numberFormat = "%s/%s/%06d/%03d"
+	// keyFormat pads numbers so that the keys of a job sort in numeric order.
+	keyFormat = "%s/%s/%06d/%03d"
 )
 
-func key(job, kind string, number, chunk int) string {
-	return fmt.Sprintf(numberFormat, job, kind, number, chunk)
+func recordKey(job, kind string, number, chunk int) string {
+	return fmt.Sprintf(keyFormat, job, kind, number, chunk)
 }
 
+// parseKey splits a record key. It returns errMalformedKey if k does not follow the layout.
 func parseKey(k string) (job, kind string, number, chunk int, err error) {
 	parts := strings.Split(k, "/")
 	if len(parts) != keyParts {
-		return "", "", 0, 0, errForeign
+		return "", "", 0, 0, errMalformedKey
 	}
 	number, err = strconv.Atoi(parts[2])
 	if err != nil {
-		return "", "", 0, 0, errForeign
+		return "", "", 0, 0, errMalformedKey
 	}
 	chunk, err = strconv.Atoi(parts[3])
 	if err != nil {
-		return "", "", 0, 0, errForeign
+		return "", "", 0, 0, errMalformedKey
 	}
 	return parts[0], parts[1], number, chunk, nil
 }
 
-// split cuts a value into records.
-func split(job, kind string, number int, m proto.Message) ([]store.Record, error) {
+// encodeRecords encodes a value as records of at most maxChunkBytes of data each.
+func encodeRecords(job, kind string, number int, m proto.Message) ([]store.Record, error) {
 	data, err := proto.Marshal(m)
 	if err != nil {
 		return nil, err
 	}
-	total := max(1, (len(data)+chunkBytes-1)/chunkBytes)
+	total := max(1, (len(data)+maxChunkBytes-1)/maxChunkBytes)
 	var out []store.Record
 	for i := range total {
-		part := data[i*chunkBytes : min(len(data), (i+1)*chunkBytes)]
-		value, err := proto.Marshal(&wire.Chunk{Total: uint32(total), Data: part})
+		chunk := data[i*maxChunkBytes : min(len(data), (i+1)*maxChunkBytes)]
+		value, err := proto.Marshal(&wire.Chunk{Total: uint32(total), Data: chunk})
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, store.Record{Key: key(job, kind, number, i), Value: value})
+		out = append(out, store.Record{Key: recordKey(job, kind, number, i), Value: value})
 	}
 	return out, nil
 }
--- a/jobs/jobs_test.go
+++ b/jobs/jobs_test.go
@@ -23,25 +23,24 @@
 	return s
 }
 
-// newTable returns a table whose records must all be readable.
+// newTable returns a table that fails the test on any unreadable record.
 func newTable(t *testing.T) *jobs.Table {
 	return jobs.NewTable(func(key string, err error) { t.Errorf("record %s: %v", key, err) })
 }
 
-// Symptom: results are missing and no log line says why.
-// Sequence: a record is damaged, or a newer version's.
-// Cause: records that could not be folded were counted and told nowhere.
-func TestUnreadableRecordsAreTold(t *testing.T) {
-	var told []string
-	tab := jobs.NewTable(func(key string, _ error) { told = append(told, key) })
-	apply(tab, []store.Record{{Key: "no/such", Value: []byte("x")}, {Key: "job/spec/000000/000", Value: []byte{0xff}}})
-	if !slices.Equal(told, []string{"no/such", "job/spec/000000/000"}) {
-		t.Fatalf("told of %v", told)
+// Guards against results that are missing without a log line: a record that is damaged or
+// written by a newer version cannot be folded and must be reported.
+func TestUnreadableRecordsAreReported(t *testing.T) {
+	var reported []string
+	tab := jobs.NewTable(func(key string, _ error) { reported = append(reported, key) })
+	applyAll(tab, []store.Record{{Key: "no/such", Value: []byte("x")}, {Key: "job/spec/000000/000", Value: []byte{0xff}}})
+	if !slices.Equal(reported, []string{"no/such", "job/spec/000000/000"}) {
+		t.Fatalf("reported keys %v", reported)
 	}
 }
 
-// fingerprint tells all that callers can read of a job.
-func fingerprint(t *jobs.Table, id string) string {
+// visibleState returns everything that callers can read of a job.
+func visibleState(t *jobs.Table, id string) string {
 	j := t.Get(id)
 	if j == nil {
 		return "none"
@@ -54,12 +53,10 @@
 	return out
 }
 
-// Symptom: two nodes tell different results of one job, or one node others than
-// before its restart.
-// Sequence: records are folded twice after the history was forgotten, or in the
-// order of their keys instead of the log's.
-// Cause: a fold that depends on how often and in which order it sees a record.
-func TestFoldIsIndependentOfOrderAndCopies(t *testing.T) {
+// Guards against nodes that report different results for one job, or a node that reports
+// others after a restart. Records are folded twice after the log has been trimmed, or in
+// key order instead of log order, so the fold must not depend on either.
+func TestFoldIgnoresOrderAndDuplicates(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		log := newTable(t)
 		var all []store.Record
@@ -95,54 +92,50 @@
 		for _, r := range mixed {
 			other.Apply(r)
 		}
-		if a, b := fingerprint(log, "job"), fingerprint(other, "job"); a != b {
-			rt.Fatalf("in order %q, mixed %q", a, b)
+		if a, b := visibleState(log, "job"), visibleState(other, "job"); a != b {
+			rt.Fatalf("folded in order: %q, folded twice in random order: %q", a, b)
 		}
 	})
 }
 
-// Symptom: an item stands at two positions.
-// Sequence: two runners finish it at the same time and list it together, or one
-// after the other.
-// Cause: positions given without looking at what is listed.
-func TestAnItemIsListedOnce(t *testing.T) {
+// Guards against an item that is listed at two positions: two runners finish it at the same
+// time and list it in one call, or one after the other.
+func TestItemIsListedOnce(t *testing.T) {
 	tab := newTable(t)
-	apply(tab, mustT(t)(tab.Accept(spec("job", 2, 1))))
-	both := mustT(t)(tab.List([]jobs.Outcome{{Job: "job", Item: 1, Text: []byte("a")}, {Job: "job", Item: 1, Text: []byte("b")}}))
+	applyAll(tab, must(t)(tab.Accept(spec("job", 2, 1))))
+	both := must(t)(tab.List([]jobs.Outcome{{Job: "job", Item: 1, Text: []byte("a")}, {Job: "job", Item: 1, Text: []byte("b")}}))
 	if len(both) != 1 {
-		t.Fatalf("%d records for one item", len(both))
+		t.Fatalf("%d records for one item, want 1", len(both))
 	}
-	apply(tab, both)
-	apply(tab, mustT(t)(tab.List([]jobs.Outcome{{Job: "job", Item: 1, Dead: true}, {Job: "job", Item: 0, Text: []byte("c")}})))
+	applyAll(tab, both)
+	applyAll(tab, must(t)(tab.List([]jobs.Outcome{{Job: "job", Item: 1, Dead: true}, {Job: "job", Item: 0, Text: []byte("c")}})))
 	j := tab.Get("job")
 	if j.Listed() != 2 || string(j.Result(0).Text) != "a" || string(j.Result(1).Text) != "c" || !j.Complete() {
-		t.Fatalf("listed %d: %v", j.Listed(), fingerprint(tab, "job"))
+		t.Fatalf("%d results listed: %v", j.Listed(), visibleState(tab, "job"))
 	}
 }
 
-// Symptom: a result that was read changes.
-// Sequence: a record comes for a position that is taken, or for an item that is
-// listed, whoever wrote it.
-// Cause: the last record wins.
-func TestTheFirstResultStays(t *testing.T) {
+// Guards against a result that changes after a client has read it: a second record for the
+// same position or the same item must not replace the first.
+func TestFirstResultStays(t *testing.T) {
 	tab, other := newTable(t), newTable(t)
-	accepted := mustT(t)(tab.Accept(spec("job", 2, 1)))
-	apply(tab, accepted)
-	apply(other, accepted)
-	apply(tab, mustT(t)(tab.List([]jobs.Outcome{{Job: "job", Item: 0, Text: []byte("first")}})))
-	apply(tab, mustT(t)(other.List([]jobs.Outcome{{Job: "job", Item: 1, Text: []byte("second")}})))
+	accepted := must(t)(tab.Accept(spec("job", 2, 1)))
+	applyAll(tab, accepted)
+	applyAll(other, accepted)
+	applyAll(tab, must(t)(tab.List([]jobs.Outcome{{Job: "job", Item: 0, Text: []byte("first")}})))
+	applyAll(tab, must(t)(other.List([]jobs.Outcome{{Job: "job", Item: 1, Text: []byte("second")}})))
 	if r := tab.Get("job").Result(0); string(r.Text) != "first" {
-		t.Fatalf("position 0 became %q", r.Text)
+		t.Fatalf("position 0 changed to %q", r.Text)
 	}
 }
 
-func apply(tab *jobs.Table, recs []store.Record) {
+func applyAll(tab *jobs.Table, recs []store.Record) {
 	for _, r := range recs {
 		tab.Apply(r)
 	}
 }
 
-func mustT(t *testing.T) func([]store.Record, error) []store.Record {
+func must(t *testing.T) func([]store.Record, error) []store.Record {
 	return func(recs []store.Record, err error) []store.Record {
 		t.Helper()
 		if err != nil {
@@ -152,61 +145,61 @@
 	}
 }
 
-// Symptom: the store refuses a job as too large, or its room is used up.
-// Cause: a value over the record limit of 256 KiB, or jobs that are never dropped.
-func TestRecordsFitAndOldJobsAreDropped(t *testing.T) {
+// Guards against a job that the store rejects because a record exceeds the limit of
+// 256 KiB, and against a store that fills up because jobs are never dropped.
+func TestRecordsFitLimitAndOldJobsExpire(t *testing.T) {
 	tab := newTable(t)
 	big := spec("big", 200, 20<<10)
 	big.AcceptedUnixMs = 1000
-	recs := mustT(t)(tab.Accept(big))
+	recs := must(t)(tab.Accept(big))
 	for _, r := range recs {
 		if n := len(r.Key) + len(r.Value) + 1; n > 256<<10 {
-			t.Fatalf("record of %d bytes", n)
+			t.Fatalf("record of %d bytes exceeds the limit of 256 KiB", n)
 		}
 	}
-	apply(tab, recs)
+	applyAll(tab, recs)
 	keep := time.Minute
 	at := time.UnixMilli(1000).Add(2 * keep)
 	if got := tab.Expired(at, keep); len(got) != 0 {
-		t.Fatalf("an open job was dropped: %d records", len(got))
+		t.Fatalf("open job expired: %d records", len(got))
 	}
-	apply(tab, mustT(t)(tab.End("big")))
+	applyAll(tab, must(t)(tab.End("big")))
 	if got := tab.Expired(at.Add(-keep-time.Second), keep); len(got) != 0 {
-		t.Fatal("a job was dropped before its time")
+		t.Fatal("job expired before the retention period ended")
 	}
-	apply(tab, tab.Expired(at, keep))
+	applyAll(tab, tab.Expired(at, keep))
 	if tab.Get("big") != nil || len(tab.Jobs()) != 0 {
-		t.Fatal("an old job was kept")
+		t.Fatal("job did not expire after the retention period")
 	}
 }
 
-// Symptom: a hopeless item runs again and again as its runner changes.
-// Cause: failed attempts were only counted in memory.
-func TestFailedAttemptsAreKept(t *testing.T) {
+// Guards against an item that fails without end because failed attempts are counted only in
+// memory, and the count is lost whenever the item moves to another runner.
+func TestFailedAttemptsArePersisted(t *testing.T) {
 	tab := newTable(t)
-	apply(tab, mustT(t)(tab.Accept(spec("job", 1, 1))))
-	apply(tab, mustT(t)(tab.Fail("job", 0, 2, false)))
-	apply(tab, mustT(t)(tab.Fail("job", 0, 1, true)))
-	if failed, never := tab.Get("job").Failures(0); failed != 2 || !never {
-		t.Fatalf("failed %d, impossible %v", failed, never)
+	applyAll(tab, must(t)(tab.Accept(spec("job", 1, 1))))
+	applyAll(tab, must(t)(tab.Fail("job", 0, 2, false)))
+	applyAll(tab, must(t)(tab.Fail("job", 0, 1, true)))
+	if failed, impossible := tab.Get("job").Failures(0); failed != 2 || !impossible {
+		t.Fatalf("failed %d, impossible %v", failed, impossible)
 	}
 }
 
-// Whatever stands on the store, the fold neither panics nor invents a job.
-func FuzzFoldTakesAnyRecord(f *testing.F) {
+// Checks that no record makes the fold panic, and that an unreadable record creates no job.
+func FuzzFoldAcceptsAnyRecord(f *testing.F) {
 	f.Add("job/spec/000000/000", []byte{1, 2, 3})
 	f.Add("job/result/-1/999", []byte{})
 	f.Add("//", []byte("x"))
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		told := 0
-		tab := jobs.NewTable(func(string, error) { told++ })
+		unreadable := 0
+		tab := jobs.NewTable(func(string, error) { unreadable++ })
 		tab.Apply(store.Record{Key: key, Value: value})
 		for _, j := range tab.Jobs() {
 			_ = j.Listed()
 			_ = j.Complete()
 		}
-		if told > 0 && len(tab.Jobs()) > 0 {
-			t.Fatal("a record that cannot be read made a job")
+		if unreadable > 0 && len(tab.Jobs()) > 0 {
+			t.Fatal("an unreadable record created a job")
 		}
 	})
 }
--- a/jobs/scope.go
+++ b/jobs/scope.go
@@ -6,20 +6,21 @@
 	"net/url"
 )
 
-// maxScopeBytes bounds what a workspace adds to its jobs' ids: ids are part of keys on the
-// store, whose length is one byte. Longer names are replaced by a digest.
+// maxScopeBytes limits the length of a workspace in a job ID. IDs are part of store keys,
+// whose length is encoded in one byte. A digest replaces longer workspace names.
 const maxScopeBytes = 32
 
-// scopeMark ends the workspace in an id. It does not occur in a workspace's part.
-const scopeMark = ":"
+// scopeSeparator ends the workspace in a job ID. An escaped workspace name does not contain
+// it.
+const scopeSeparator = ":"
 
-// ScopedID returns the id under which a workspace's job is kept. Each workspace has ids of
-// its own, so that a job of another one cannot be named at all.
+// ScopedID returns the ID under which the job of a workspace is stored. Each workspace has
+// its own ID space, so no ID can refer to a job of another workspace.
 func ScopedID(workspace, id string) string {
 	scope := url.QueryEscape(workspace)
 	if len(scope) > maxScopeBytes {
 		sum := sha256.Sum256([]byte(workspace))
 		scope = hex.EncodeToString(sum[:maxScopeBytes/2])
 	}
-	return scope + scopeMark + id
+	return scope + scopeSeparator + id
 }
