--- a/quarantine/archive.go
+++ b/quarantine/archive.go
@@ -14,136 +14,140 @@
 
 // Intervals and bounds of an Archive.
 const (
-	// archiveCopies is how many partitions keep a held request: some of them may be away.
-	archiveCopies = 3
-	// archiveEvery is how often changes are looked for, archivePause is left after a call
-	// that failed.
-	archiveEvery   = 250 * time.Millisecond
-	archivePause   = time.Second
-	archiveTimeout = time.Second
+	// archiveReplicaCount is the number of partitions that each held request is written to,
+	// since some of them may be unavailable.
+	archiveReplicaCount = 3
+	// archiveInterval is the time between two checks for changes. archiveRetryDelay is the
+	// pause for a partition after a failed call.
+	archiveInterval   = 250 * time.Millisecond
+	archiveRetryDelay = time.Second
+	archiveTimeout    = time.Second
 )
 
-// Archive keeps held requests on the shared store. When all processes have ended at once
-// nobody is left to tell the new ones, and each would learn anew by crashed targets.
+// Archive persists held requests in the shared store. When all processes restart at once, no
+// process is left to send its marks to the new ones, and each would have to observe the same
+// crashes again.
 type Archive struct {
-	keeper *Keeper
-	store  store.Log
-	log    logging.Logger
-	copies []*archiveCopy
+	tracker  *Keeper
+	store    store.Log
+	log      logging.Logger
+	replicas []*archiveReplica
 }
 
-// archiveCopy is one partition that keeps the held requests.
-type archiveCopy struct {
+// archiveReplica is one partition that stores the held requests.
+type archiveReplica struct {
 	partition store.Partition
-	read      bool
-	kept      map[Key]uint64 // by request, its last change when it was kept; 0 as it was read
-	pause     time.Time      // it did not answer, and is left alone until then
+	loaded    bool
+	saved     map[Key]uint64 // Suspect.LastChange at the time of writing; 0 if read from the store
+	retryAt   time.Time      // after a failed call; zero if the last call succeeded
 }
 
-// NewArchive returns an Archive of a Keeper on a topic with so many partitions.
-func NewArchive(k *Keeper, l store.Log, topic string, parts int, log logging.Logger) *Archive {
-	a := &Archive{keeper: k, store: l, log: log}
-	for _, p := range store.Spread(topic, parts, archiveCopies) {
-		a.copies = append(a.copies, &archiveCopy{partition: p, kept: make(map[Key]uint64)})
+// NewArchive returns an Archive that persists the held requests of tr in a topic with the given
+// number of partitions.
+func NewArchive(tr *Keeper, l store.Log, topic string, partitions int, log logging.Logger) *Archive {
+	a := &Archive{tracker: tr, store: l, log: log}
+	for _, p := range store.Spread(topic, partitions, archiveReplicaCount) {
+		a.replicas = append(a.replicas, &archiveReplica{partition: p, saved: make(map[Key]uint64)})
 	}
 	return a
 }
 
-// Run reads what is kept and keeps what comes, until ctx ends.
+// Run loads the stored requests and then writes changes, until ctx ends.
 func (a *Archive) Run(ctx context.Context) {
 	for {
-		cases := a.keeper.Cases()
-		for _, c := range a.copies {
-			if time.Now().Before(c.pause) {
+		suspects := a.tracker.Cases()
+		for _, rep := range a.replicas {
+			if time.Now().Before(rep.retryAt) {
 				continue
 			}
-			if err := a.update(ctx, c, cases); err != nil {
-				a.tell(c, err)
-				c.pause = time.Now().Add(archivePause)
+			if err := a.reconcile(ctx, rep, suspects); err != nil {
+				a.reportFailure(rep, err)
+				rep.retryAt = time.Now().Add(archiveRetryDelay)
 				continue
 			}
-			c.pause = time.Time{}
+			rep.retryAt = time.Time{}
 		}
-		if wait.For(ctx, archiveEvery) != nil {
+		if wait.For(ctx, archiveInterval) != nil {
 			return
 		}
 	}
 }
 
-// tell logs that a copy does not answer, once for each time that it is away.
-func (a *Archive) tell(c *archiveCopy, err error) {
-	a.keeper.cfg.Metrics.Count("held_not_kept")
-	if c.pause.IsZero() {
-		a.log.Warn("held requests not read or kept; tried again", logging.F("partition", c.partition.Number),
+// reportFailure counts a failed call and logs the first one of each outage of a replica.
+func (a *Archive) reportFailure(rep *archiveReplica, err error) {
+	a.tracker.cfg.Metrics.Count("held_not_kept")
+	if rep.retryAt.IsZero() {
+		a.log.Warn("held requests not read from or written to the store; retrying", logging.F("partition", rep.partition.Number),
 			logging.F("error", err.Error()))
 	}
 }
 
-// update reads a copy once, then keeps the held requests whose crashes this process saw,
-// and drops those that are not held any more.
-func (a *Archive) update(ctx context.Context, c *archiveCopy, cases []Case) error {
-	if !c.read {
-		return a.load(ctx, c)
+// reconcile loads a replica on the first call. Later calls write the held requests whose
+// crashes this process observed and delete those that are no longer held.
+func (a *Archive) reconcile(ctx context.Context, rep *archiveReplica, suspects []Suspect) error {
+	if !rep.loaded {
+		return a.load(ctx, rep)
 	}
 	held := make(map[Key]bool)
-	for _, one := range cases {
-		if !one.Held {
+	for _, s := range suspects {
+		if !s.Held {
 			continue
 		}
-		held[one.Key] = true
-		if !one.Own || c.kept[one.Key] == one.Change {
+		held[s.Key] = true
+		if !s.Local || rep.saved[s.Key] == s.LastChange {
 			continue
 		}
-		value, err := proto.Marshal(toWire(one.Crashes))
+		value, err := proto.Marshal(toWire(s.Crashes))
 		if err != nil {
 			return err
 		}
-		if err := a.append(ctx, c, one.Key, value); err != nil {
+		if err := a.append(ctx, rep, s.Key, value); err != nil {
 			return err
 		}
-		c.kept[one.Key] = one.Change
+		rep.saved[s.Key] = s.LastChange
 	}
-	for key := range c.kept {
+	for key := range rep.saved {
 		if held[key] {
 			continue
 		}
-		if err := a.append(ctx, c, key, nil); err != nil {
+		if err := a.append(ctx, rep, key, nil); err != nil {
 			return err
 		}
-		delete(c.kept, key)
+		delete(rep.saved, key)
 	}
 	return nil
 }
 
-// load reads a copy.
-func (a *Archive) load(ctx context.Context, c *archiveCopy) error {
+// load merges the marks of all requests that a replica stores.
+func (a *Archive) load(ctx context.Context, rep *archiveReplica) error {
 	ctx, cancel := context.WithTimeout(ctx, archiveTimeout)
 	defer cancel()
-	all, err := store.NewestAll(ctx, a.store, c.partition)
+	all, err := store.NewestAll(ctx, a.store, rep.partition)
 	if err != nil {
 		return err
 	}
-	c.read = true
-	for _, r := range all.Records {
-		kept := &wire.Marks{}
-		key, err := ParseKey(r.Key)
+	rep.loaded = true
+	for _, rec := range all.Records {
+		stored := &wire.Marks{}
+		key, err := ParseKey(rec.Key)
 		if err == nil {
-			err = proto.Unmarshal(r.Value, kept)
+			err = proto.Unmarshal(rec.Value, stored)
 		}
 		if err != nil {
-			a.log.Warn("held request on the store cannot be read", logging.F("key", r.Key), logging.F("error", err.Error()))
+			a.log.Warn("record of a held request in the store cannot be decoded; skipped", logging.F("key", rec.Key), logging.F("error", err.Error()))
 			continue
 		}
-		a.keeper.Merge(fromWire(kept), a)
-		// Whoever kept it may be gone, so it is dropped by all that read it.
-		c.kept[key] = 0
+		a.tracker.Merge(fromWire(stored), a)
+		// The process that wrote the record may have ended, so each process that has read it
+		// deletes it once the request is released.
+		rep.saved[key] = 0
 	}
 	return nil
 }
 
-func (a *Archive) append(ctx context.Context, c *archiveCopy, key Key, value []byte) error {
+func (a *Archive) append(ctx context.Context, rep *archiveReplica, key Key, value []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, archiveTimeout)
 	defer cancel()
-	_, err := a.store.Append(ctx, c.partition, []store.Record{{Key: key.String(), Value: value}}, store.AnyEnd)
+	_, err := a.store.Append(ctx, rep.partition, []store.Record{{Key: key.String(), Value: value}}, store.AnyEnd)
 	return err
 }
--- a/quarantine/attribute.go
+++ b/quarantine/attribute.go
@@ -6,126 +6,131 @@
 	"pumiceford/targets"
 )
 
-// Weights of crashes, and sums of them that hold a request.
+// Weights of crashes and the sums of weights at which a request is held.
 const (
-	// weightSilent is that of a crash before the request's answer began, weightAnswered of
-	// one after that.
-	weightSilent   = 2
-	weightAnswered = 1
-	// weightExplained is taken off where another request is found to be the cause. Not all
-	// of the weight: causes that met at the same targets explain each other's crashes.
-	weightExplained = 1
-	// weightHeld is enough: three crashes before the answer began that nothing explains. One
-	// ends whatever ran beside its cause, and two may meet a sound request in a bad moment.
-	weightHeld = 3 * weightSilent
-	// weightCredible is enough for a request that has run well after a crash.
-	weightCredible = 2 * weightHeld
+	// weightUnanswered is the weight of a crash before the request's answer began,
+	// weightAnswered that of a crash after it.
+	weightUnanswered = 2
+	weightAnswered   = 1
+	// explainedDiscount is subtracted from a crash that is attributed to another request. It is
+	// less than the whole weight because requests that each crash targets and ran on the same
+	// ones would otherwise clear each other.
+	explainedDiscount = 1
+	// holdThreshold corresponds to three unexplained crashes before the answer began. A single
+	// crash ends all requests that run beside its cause, and a sound request can be present at
+	// two by coincidence.
+	holdThreshold = 3 * weightUnanswered
+	// clearedHoldThreshold applies to a request that has completed after a crash.
+	clearedHoldThreshold = 2 * holdThreshold
 )
 
-// weight returns how much a crash counts that is not void.
-func (m *noted) weight() int {
+// weight returns the weight of a crash that is not void.
+func (m *trackedMark) weight() int {
 	if m.Answered {
 		return weightAnswered
 	}
-	return weightSilent
+	return weightUnanswered
 }
 
-// attribute decides which requests are the culprits. Each crash has one cause: the request whose
-// crashes weigh most explains all of these, and they count less against the others. Without
-// this a sound request that was sent from one crashed target to the next, beside the
-// cause, would be held as well. Requests that have run well are looked at last: a popular
-// one is at every target that crashes, and would explain all that the others did.
-func (t *Table) attribute() {
-	if !t.outdated {
+// updateCulprits recomputes the requests that cause crashes. Each crash has one cause: the
+// request with the largest weight explains all of its crashes, which then count less against
+// the others. Otherwise a sound request that is retried beside the cause on one crashed target
+// after another would be held as well. Requests that have completed after a crash are examined
+// last: a popular request is present on every target that crashes and would explain the crashes
+// of all others.
+func (t *Table) updateCulprits() {
+	if !t.dirty {
 		return
 	}
-	t.outdated = false
+	t.dirty = false
 	clear(t.culprits)
-	fresh, credible := newAttribution(), newAttribution()
+	uncleared, cleared := newAttribution(), newAttribution()
 	for _, r := range t.records {
 		switch {
-		case r.weight() < weightHeld:
-		case r.credible():
-			credible.add(r)
+		case r.weight() < holdThreshold:
+		case r.cleared():
+			cleared.add(r)
 		default:
-			fresh.add(r)
+			uncleared.add(r)
 		}
 	}
-	fresh.findCulprits(weightHeld, t.culprits)
-	for life := range fresh.explained {
-		credible.explain(life)
+	uncleared.findCulprits(holdThreshold, t.culprits)
+	for target := range uncleared.explained {
+		cleared.explain(target)
 	}
-	credible.findCulprits(weightCredible, t.culprits)
+	cleared.findCulprits(clearedHoldThreshold, t.culprits)
 }
 
-// attribution finds the culprits among some requests.
+// attribution finds the culprits among a set of requests.
 type attribution struct {
-	suspects  []*suspect
-	at        map[targets.Life][]*suspect
-	explained map[targets.Life]bool
+	candidates []*candidate
+	byTarget   map[targets.Life][]*candidate
+	explained  map[targets.Life]bool
 }
 
-// suspect is a request that may be a culprit.
-type suspect struct {
+// candidate is a request that may be a culprit.
+type candidate struct {
 	key     Key
-	lives   []targets.Life
-	weight  int // of its crashes, less what others explain
+	targets []targets.Life
+	weight  int // sum over its crashes, less the discounts for explained ones
 	culprit bool
 }
 
 func newAttribution() *attribution {
-	return &attribution{at: make(map[targets.Life][]*suspect), explained: make(map[targets.Life]bool)}
+	return &attribution{byTarget: make(map[targets.Life][]*candidate), explained: make(map[targets.Life]bool)}
 }
 
 func (a *attribution) add(r *record) {
-	s := &suspect{key: r.key}
-	for life, m := range r.marks {
+	c := &candidate{key: r.key}
+	for target, m := range r.marks {
 		if !m.Void {
-			s.lives = append(s.lives, life)
-			a.at[life] = append(a.at[life], s)
-			s.weight += m.weight()
+			c.targets = append(c.targets, target)
+			a.byTarget[target] = append(a.byTarget[target], c)
+			c.weight += m.weight()
 		}
 	}
-	a.suspects = append(a.suspects, s)
+	a.candidates = append(a.candidates, c)
 }
 
-// explain takes a crash whose cause is known.
-func (a *attribution) explain(life targets.Life) {
-	if a.explained[life] {
+// explain records that the cause of a crash is known and reduces the weight of the candidates
+// that ran on its target.
+func (a *attribution) explain(target targets.Life) {
+	if a.explained[target] {
 		return
 	}
-	a.explained[life] = true
-	for _, s := range a.at[life] {
-		s.weight -= weightExplained
+	a.explained[target] = true
+	for _, c := range a.byTarget[target] {
+		c.weight -= explainedDiscount
 	}
 }
 
-// findCulprits adds those whose crashes weigh at least so much to the culprits, the heaviest
+// findCulprits adds the candidates with at least the given weight to culprits, the heaviest
 // first.
-func (a *attribution) findCulprits(least int, culprits map[Key]bool) {
+func (a *attribution) findCulprits(minWeight int, culprits map[Key]bool) {
 	for {
-		heaviest := a.heaviest(least)
+		heaviest := a.heaviest(minWeight)
 		if heaviest == nil {
 			return
 		}
 		heaviest.culprit = true
 		culprits[heaviest.key] = true
-		for _, life := range heaviest.lives {
-			a.explain(life)
+		for _, target := range heaviest.targets {
+			a.explain(target)
 		}
 	}
 }
 
-// heaviest returns the request whose crashes weigh most, nil when none is enough.
-func (a *attribution) heaviest(least int) *suspect {
-	var heaviest *suspect
-	most := least
-	for _, s := range a.suspects {
-		if s.culprit {
+// heaviest returns the candidate with the largest weight of at least the given one, or nil if
+// there is none. Equal weights are ordered by key.
+func (a *attribution) heaviest(minWeight int) *candidate {
+	var heaviest *candidate
+	maxWeight := minWeight
+	for _, c := range a.candidates {
+		if c.culprit {
 			continue
 		}
-		if s.weight > most || s.weight == most && (heaviest == nil || bytes.Compare(s.key[:], heaviest.key[:]) < 0) {
-			heaviest, most = s, s.weight
+		if c.weight > maxWeight || c.weight == maxWeight && (heaviest == nil || bytes.Compare(c.key[:], heaviest.key[:]) < 0) {
+			heaviest, maxWeight = c, c.weight
 		}
 	}
 	return heaviest
--- a/quarantine/key.go
+++ b/quarantine/key.go
@@ -1,7 +1,8 @@
-// Package quarantine finds requests that crash every target that runs them, and keeps
-// them from the others. A crash also ends what ran beside its cause, so no single one
-// tells which request it was: what ran at each crashed target is gathered from all
-// processes, and a request is held once crashes name it that nothing else explains.
+// Package quarantine detects requests that crash every target that runs them, and stops them
+// from reaching further targets. A crash also ends the requests that run beside its cause, so a
+// single crash does not identify the request. Processes therefore exchange which requests were
+// running on each crashed target, and a request is held once enough crashes count against it
+// that no other request explains.
 package quarantine
 
 import (
@@ -12,12 +13,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Key names a request by what it says, whatever id it bears. The caller is part of it, as
-// far as it is known, so that nobody can have the request of another one held by sending
-// the same; the hash is a cryptographic one so that nobody finds another with the same key.
+// Key identifies a request by its content, independent of its ID. It includes the caller, as
+// far as known, so that a caller cannot have another caller's request held by sending the same
+// content. The hash is cryptographic so that nobody can construct a different request with the
+// same key.
 type Key [16]byte
 
-// NewKey returns the key of a request.
+// NewKey returns the key of a request. Each part is hashed with its length.
 func NewKey(caller, method, host, uri string, body []byte) Key {
 	h := sha256.New()
 	var size [8]byte
@@ -34,14 +36,14 @@
 	return hex.EncodeToString(k[:])
 }
 
-// ErrKey says that a text is no key.
-var ErrKey = errors.New("a key has 32 hexadecimal digits")
+// ErrInvalidKey is returned for a text that is not a key.
+var ErrInvalidKey = errors.New("a key has 32 hexadecimal digits")
 
-// ParseKey reads what String returned.
+// ParseKey parses the output of String. It returns ErrInvalidKey for any other text.
 func ParseKey(s string) (Key, error) {
 	raw, err := hex.DecodeString(s)
 	if err != nil || len(raw) != len(Key{}) {
-		return Key{}, errors.Wrapf(ErrKey, "%q", s)
+		return Key{}, errors.Wrapf(ErrInvalidKey, "%q", s)
 	}
 	return Key(raw), nil
 }
--- a/quarantine/key_test.go
+++ b/quarantine/key_test.go
@@ -8,9 +8,9 @@
 	"pumiceford/quarantine"
 )
 
-// Two requests have the same key only when all parts are the same, also where one
-// part ends with what another begins with.
-func TestAKeyTellsAllPartsApart(t *testing.T) {
+// Two requests must have the same key only if all parts are equal, also where the parts differ
+// only in how the bytes are divided between them.
+func TestKeyDependsOnEachPart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		part := rapid.StringMatching("[ab]{0,2}")
 		draw := func(name string) [5]string {
@@ -30,14 +30,14 @@
 	})
 }
 
-func TestAKeyIsReadAsItIsWritten(t *testing.T) {
+func TestParseKeyRoundTrip(t *testing.T) {
 	k := quarantine.NewKey("c", "POST", "h", "/", nil)
 	if got, err := quarantine.ParseKey(k.String()); err != nil || got != k {
-		t.Fatalf("%s is read as %s, %v", k, got, err)
+		t.Fatalf("ParseKey(%s) = %s, %v", k, got, err)
 	}
 	for _, s := range []string{"", "00", k.String() + "00", "x" + k.String()[1:]} {
 		if _, err := quarantine.ParseKey(s); err == nil {
-			t.Errorf("%q is read as a key", s)
+			t.Errorf("ParseKey(%q) did not fail", s)
 		}
 	}
 }
--- a/quarantine/spread.go
+++ b/quarantine/spread.go
@@ -10,33 +10,34 @@
 	"pumiceford/wire"
 )
 
-// Intervals and bounds of telling others.
+// Intervals and bounds of the exchange of marks.
 const (
-	// spreadEvery gathers what a crash brings into one message. All that ran at a target
-	// is told by as many entries within milliseconds.
-	spreadEvery = 10 * time.Millisecond
-	// followPause is left between attempts to reach an agent.
-	followPause = 200 * time.Millisecond
-	// marksPerMessage bounds one message.
-	marksPerMessage = 256
+	// sendDelay collects the marks of one crash into one message. The requests that ran on a
+	// crashed target are reported by as many entries within milliseconds.
+	sendDelay = 10 * time.Millisecond
+	// reconnectDelay is the pause between attempts to reach an agent.
+	reconnectDelay = 200 * time.Millisecond
+	// maxMarksPerMessage bounds the size of a message.
+	maxMarksPerMessage = 256
 )
 
-// Follow exchanges marks with the agent at peer until ctx ends. Entries do not know each
-// other, and the store may be away: the agents that an entry watches anyway pass on what
-// each of them tells.
-func Follow(ctx context.Context, peer *link.Peer, k *Keeper) {
+// Follow exchanges marks with the agent at peer until ctx ends. Entries have no connections to
+// each other, and the store may be unavailable, so the agents that an entry watches anyway
+// relay the marks.
+func Follow(ctx context.Context, peer *link.Peer, tr *Keeper) {
 	for ctx.Err() == nil {
 		st, err := peer.Open(ctx, link.Control, &wire.Call{Kind: &wire.Call_Marks{Marks: &wire.Marks{}}})
-		if err == nil { // the session's own log tells of lost peers
-			k.Exchange(ctx, st)
+		if err == nil { // the link logs failed connections
+			tr.Exchange(ctx, st)
 		}
-		_ = wait.For(ctx, followPause)
+		_ = wait.For(ctx, reconnectDelay)
 	}
 }
 
-// Exchange tells the other end of a stream all marks, then each change, and takes what it
-// tells, until the stream or ctx ends. Only changes are passed on, so it comes to rest.
-func (k *Keeper) Exchange(ctx context.Context, st *link.Stream) {
+// Exchange sends all marks and then each change to the other end of a stream, and merges the
+// marks that it receives, until the stream or ctx ends. Only changes are relayed, so
+// nothing more is sent once all processes have the same marks.
+func (tr *Keeper) Exchange(ctx context.Context, st *link.Stream) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := context.AfterFunc(ctx, st.Close)
@@ -44,29 +45,29 @@
 	go func() {
 		defer cancel()
 		for {
-			told := &wire.Marks{}
-			if st.Recv(told) != nil {
+			received := &wire.Marks{}
+			if st.Recv(received) != nil {
 				return
 			}
-			k.Merge(fromWire(told), st)
+			tr.Merge(fromWire(received), st)
 		}
 	}()
-	told := uint64(0)
+	sent := uint64(0)
 	for ctx.Err() == nil {
-		marks, upTo, changed := k.since(told, st)
+		marks, upTo, changed := tr.marksSince(sent, st)
 		for len(marks) > 0 {
-			n := min(len(marks), marksPerMessage)
+			n := min(len(marks), maxMarksPerMessage)
 			if st.Send(toWire(marks[:n])) != nil {
 				return
 			}
 			marks = marks[n:]
 		}
-		told = upTo
+		sent = upTo
 		select {
 		case <-changed:
 		case <-ctx.Done():
 		}
-		_ = wait.For(ctx, spreadEvery)
+		_ = wait.For(ctx, sendDelay)
 	}
 }
 
@@ -80,7 +81,7 @@
 	return out
 }
 
-// fromWire leaves out what has no key.
+// fromWire converts received marks. It drops marks without a valid key.
 func fromWire(all *wire.Marks) []Mark {
 	var out []Mark
 	for _, m := range all.GetMarks() {
--- a/quarantine/spread_test.go
+++ b/quarantine/spread_test.go
@@ -16,122 +16,123 @@
 	"pumiceford/wire"
 )
 
-// crashed is a Prober all of whose targets have crashed.
-type crashed struct{}
+// crashedProber is a Prober that reports every target as crashed.
+type crashedProber struct{}
 
-func (crashed) Crashed(context.Context, targets.Instance) bool { return true }
+func (crashedProber) Crashed(context.Context, targets.Instance) bool { return true }
 
-func newKeeper() *quarantine.Keeper {
-	return quarantine.NewKeeper(quarantine.Config{Prober: crashed{}, Metrics: metrics.New("n")})
+func newTracker() *quarantine.Keeper {
+	return quarantine.NewKeeper(quarantine.Config{Prober: crashedProber{}, Metrics: metrics.New("n")})
 }
 
-// crash has a request crash so many targets, as one process saw it.
-func crash(k *quarantine.Keeper, key quarantine.Key, at ...string) {
+// reportCrashes records a crash of each given instance under a request.
+func reportCrashes(tr *quarantine.Keeper, key quarantine.Key, at ...string) {
 	for _, id := range at {
-		k.Broke(context.Background(), quarantine.Run{Key: key, Target: targets.Instance{ID: id}})
+		tr.Broke(context.Background(), quarantine.Run{Key: key, Target: targets.Instance{ID: id}})
 	}
 }
 
-// patience is how long a test waits for what has to come, far above what it takes.
-const patience = 30 * time.Second
+// awaitTimeout bounds the wait for an expected state; it is far above the usual time.
+const awaitTimeout = 30 * time.Second
 
-func await(t *testing.T, what string, ok func() bool) {
+func await(t *testing.T, state string, ok func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(awaitTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	t.Fatalf("%s did not come", what)
+	t.Fatalf("timed out waiting for %s", state)
 }
 
-func held(k *quarantine.Keeper, key quarantine.Key) bool {
-	_, is := k.Held(key)
-	return is
+func isHeld(tr *quarantine.Keeper, key quarantine.Key) bool {
+	_, held := tr.Held(key)
+	return held
 }
 
-// agent serves a keeper as the agents do, and returns its address.
-func agent(ctx context.Context, t *testing.T, k *quarantine.Keeper) string {
+// serveAgent exchanges marks as an agent does, and returns its address.
+func serveAgent(ctx context.Context, t *testing.T, tr *quarantine.Keeper) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	handle := func(ctx context.Context, _ link.Class, _ *wire.Call, st *link.Stream) { k.Exchange(ctx, st) }
-	go func() { _ = link.Serve(ctx, ln, link.Config{Node: "agent", Handle: handle}) }() // it ends with ctx
+	handle := func(ctx context.Context, _ link.Class, _ *wire.Call, st *link.Stream) { tr.Exchange(ctx, st) }
+	go func() { _ = link.Serve(ctx, ln, link.Config{Node: "agent", Handle: handle}) }() // ends with ctx
 	return ln.Addr().String()
 }
 
-// Entries do not know each other. A request crashed one target at one entry and two at
-// another, which shared no more than an agent; a third entry that watched another agent
-// only, and one that had just started, have to hold it as well, and to release it when it
-// is cleared anywhere.
-func TestEntriesLearnThroughAgents(t *testing.T) {
+// Entries have no connections to each other. A request crashes one target at one entry and two
+// at another, and the two entries share only an agent. A third entry that follows another
+// agent, and an entry that has just started, must hold the request as well, and all must
+// release it when one clears it.
+func TestAgentsRelayMarksBetweenEntries(t *testing.T) {
 	ctx := t.Context()
-	first, second := agent(ctx, t, newKeeper()), agent(ctx, t, newKeeper())
-	follow := func(k *quarantine.Keeper, addrs ...string) {
+	first, second := serveAgent(ctx, t, newTracker()), serveAgent(ctx, t, newTracker())
+	follow := func(tr *quarantine.Keeper, addrs ...string) {
 		for _, addr := range addrs {
 			peer := link.NewPeer(link.Config{Node: "entry"}, addr)
 			t.Cleanup(peer.Close)
-			go quarantine.Follow(ctx, peer, k)
+			go quarantine.Follow(ctx, peer, tr)
 		}
 	}
-	a, b, c, fresh := newKeeper(), newKeeper(), newKeeper(), newKeeper()
+	a, b, c, newEntry := newTracker(), newTracker(), newTracker(), newTracker()
 	follow(a, first)
 	follow(b, first, second)
 	follow(c, second)
-	key := keyed(1)
-	crash(a, key, "t1")
-	crash(b, key, "t2", "t3")
-	for name, k := range map[string]*quarantine.Keeper{"a": a, "b": b, "c": c} {
-		await(t, "the hold at "+name, func() bool { return held(k, key) })
+	key := testKey(1)
+	reportCrashes(a, key, "t1")
+	reportCrashes(b, key, "t2", "t3")
+	for name, tr := range map[string]*quarantine.Keeper{"a": a, "b": b, "c": c} {
+		await(t, "the hold at "+name, func() bool { return isHeld(tr, key) })
 	}
-	follow(fresh, second)
-	await(t, "the hold at a fresh entry", func() bool { return held(fresh, key) })
-	if !fresh.Clear(key) {
-		t.Fatal("nothing to clear")
+	follow(newEntry, second)
+	await(t, "the hold at a new entry", func() bool { return isHeld(newEntry, key) })
+	if !newEntry.Clear(key) {
+		t.Fatal("Clear found no crashes")
 	}
-	for name, k := range map[string]*quarantine.Keeper{"a": a, "b": b, "c": c} {
-		await(t, "the release at "+name, func() bool { return !held(k, key) })
+	for name, tr := range map[string]*quarantine.Keeper{"a": a, "b": b, "c": c} {
+		await(t, "the release at "+name, func() bool { return !isHeld(tr, key) })
 	}
 }
 
-// All processes end at once, while a part of the store is away. Those that start then must
-// not learn anew by crashed targets. What is cleared later is dropped from the store, also
-// from the part that was away, or it would be held again at the next start.
-func TestHeldRequestsOutliveAllProcesses(t *testing.T) {
-	const topic, parts = "quarantine", 6
-	s := sharedstore.New(parts)
-	at := store.Spread(topic, parts, 3)
-	run := func(k *quarantine.Keeper) context.CancelFunc {
+// All processes restart while one partition of the store is unavailable. The new processes must
+// hold the request without observing its crashes again. Once the request is cleared, it must be
+// deleted from all partitions, including the one that was unavailable, or the next process
+// would hold it again.
+func TestHeldRequestsSurviveRestartOfAllProcesses(t *testing.T) {
+	const topic, partitions = "quarantine", 6
+	s := sharedstore.New(partitions)
+	at := store.Spread(topic, partitions, 3)
+	run := func(tr *quarantine.Keeper) context.CancelFunc {
 		ctx, stop := context.WithCancel(t.Context())
-		go quarantine.NewArchive(k, s.For("n"), topic, parts, logging.Logger{}).Run(ctx)
+		go quarantine.NewArchive(tr, s.For("n"), topic, partitions, logging.Logger{}).Run(ctx)
 		return stop
 	}
-	kept := func(p store.Partition) bool {
+	stored := func(p store.Partition) bool {
 		all, err := s.For("n").Newest(t.Context(), p, "")
 		return err == nil && len(all.Records) > 0
 	}
-	key := keyed(1)
+	key := testKey(1)
 	s.SetDown(at[0], true)
-	old := newKeeper()
+	old := newTracker()
 	stop := run(old)
-	crash(old, key, "t1", "t2", "t3")
-	await(t, "two copies", func() bool { return kept(at[1]) && kept(at[2]) })
+	reportCrashes(old, key, "t1", "t2", "t3")
+	await(t, "two stored replicas", func() bool { return stored(at[1]) && stored(at[2]) })
 	stop()
 	s.SetDown(at[1], true)
-	next := newKeeper()
+	next := newTracker()
 	defer run(next)()
-	await(t, "the hold in a new process", func() bool { return held(next, key) })
+	await(t, "the hold in a new process", func() bool { return isHeld(next, key) })
 	s.SetDown(at[0], false)
 	s.SetDown(at[1], false)
 	next.Served(key)
-	await(t, "the end of all copies", func() bool { return !kept(at[0]) && !kept(at[1]) && !kept(at[2]) })
-	after := newKeeper()
+	await(t, "the deletion of all replicas", func() bool { return !stored(at[0]) && !stored(at[1]) && !stored(at[2]) })
+	after := newTracker()
 	defer run(after)()
-	crash(after, keyed(2), "t1", "t2", "t3")
-	await(t, "a copy of another one", func() bool { return kept(at[0]) && kept(at[1]) && kept(at[2]) })
-	if held(after, key) {
-		t.Error("held again by a copy")
+	reportCrashes(after, testKey(2), "t1", "t2", "t3")
+	await(t, "the replicas of another request", func() bool { return stored(at[0]) && stored(at[1]) && stored(at[2]) })
+	if isHeld(after, key) {
+		t.Error("held again by a stored record")
 	}
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -11,48 +11,51 @@
 
 // Limits of a Table.
 const (
-	// HoldFor is how long a request is held after its last crash. Then one more run
-	// decides: it clears the request, or holds it again.
+	// HoldFor is how long a request is held after its last crash. The next run then decides: if
+	// it completes, the request is cleared; if its target crashes, the request is held again.
 	HoldFor = 10 * time.Minute
-	// forgetAfter is how long a crash counts.
-	forgetAfter = 2 * HoldFor
-	// keysMost and marksMost bound memory and what a process that joins is told.
-	keysMost  = 512
-	marksMost = 16
-	// answerFor is how long a whole answer speaks for a request at least, against crashes
-	// that are told of later: a popular one is at each target that crashes.
-	answerFor = 5 * time.Second
-	// answersMost bounds the answers that are remembered, in each of two spans.
-	answersMost = 4096
+	// markTTL is how long a crash counts.
+	markTTL = 2 * HoldFor
+	// maxKeys and maxMarksPerKey bound memory and the data sent to a process that joins.
+	maxKeys        = 512
+	maxMarksPerKey = 16
+	// answerSpan is the least time for which a complete answer voids crashes that are reported
+	// after it. Without it a popular request, which is present on each target that crashes,
+	// would be held.
+	answerSpan = 5 * time.Second
+	// maxAnswersPerSpan bounds the answers that are remembered in each of the two spans.
+	maxAnswersPerSpan = 4096
 )
 
-// Mark says that a request was at a target when that crashed. Marks only ever become
-// void, so processes that tell each other in any order come to hold the same.
+// Mark records that a request was running on a target when the target crashed. Marks only ever
+// change to void or answered, so processes that exchange them in any order converge to the same
+// state.
 type Mark struct {
 	Key    Key
 	Target targets.Life
 	At     time.Time
-	// Answered: its answer had begun. A request that crashes its targets mostly does as
-	// they begin with it, and what runs beside it mostly has begun to answer.
+	// Answered says that the request's answer had begun. A request that crashes its targets
+	// usually does so before it answers, whereas the requests beside it have usually begun to
+	// answer.
 	Answered bool
-	Void     bool // a run of the request has ended well since, or an operator cleared it
+	Void     bool // the request completed afterwards, or an operator cleared it
 }
 
-// noted is a Mark as a Table has it.
-type noted struct {
+// trackedMark is a Mark with its bookkeeping in a Table.
+type trackedMark struct {
 	Mark
-	change uint64 // of the table, when the mark came or became void
-	own    bool   // this process saw the crash
-	from   any    // who told of the change; nil for this process
+	change uint64 // value of Table.changes when the mark was last changed
+	local  bool   // this process observed the crash
+	source any    // source of the last change; nil for this process
 }
 
-// record is what is known of one request.
+// record holds the marks of one request.
 type record struct {
 	key   Key
-	marks map[targets.Life]*noted
+	marks map[targets.Life]*trackedMark
 }
 
-// weight returns how much counts against the request.
+// weight returns the sum of the weights of the marks that are not void.
 func (r *record) weight() int {
 	n := 0
 	for _, m := range r.marks {
@@ -63,8 +66,9 @@
 	return n
 }
 
-// credible reports whether the request has run well after one of its crashes.
-func (r *record) credible() bool {
+// cleared reports whether any mark is void: the request has completed after a crash, or an
+// operator cleared it.
+func (r *record) cleared() bool {
 	for _, m := range r.marks {
 		if m.Void {
 			return true
@@ -73,8 +77,8 @@
 	return false
 }
 
-// newest returns the time of the last crash, zero when all are void.
-func (r *record) newest() time.Time {
+// lastCrash returns the time of the last crash that is not void, or zero if there is none.
+func (r *record) lastCrash() time.Time {
 	var at time.Time
 	for _, m := range r.marks {
 		if !m.Void && m.At.After(at) {
@@ -84,18 +88,19 @@
 	return at
 }
 
-// Table holds the crashes that requests were seen at and decides which requests are
-// held. It is pure and not safe for concurrent use.
+// Table holds the crashes at which each request was present and decides which requests are
+// held. It does no I/O, takes the time from its callers, and is not safe for concurrent use.
 type Table struct {
 	records  map[Key]*record
 	culprits map[Key]bool
 	changes  uint64
-	// outdated: a request may have become a culprit or not, which may free others. Most marks
-	// are the first of their request and change nothing.
-	outdated bool
-	// answers are the requests that were answered in this span and the one before.
-	answers [2]map[Key]bool
-	rotated time.Time // when this span began
+	// dirty says that the culprits have to be recomputed: a request may have become a culprit
+	// or ceased to be one, which affects the others too. Most marks are the first of their
+	// request and do not set it.
+	dirty bool
+	// answers are the requests answered in the current span and in the one before.
+	answers   [2]map[Key]bool
+	rotatedAt time.Time // start of the current span
 }
 
 // NewTable returns an empty Table.
@@ -103,42 +108,42 @@
 	return &Table{records: make(map[Key]*record), culprits: make(map[Key]bool), answers: [2]map[Key]bool{{}, {}}}
 }
 
-// Add takes a crash that this process saw.
-func (t *Table) Add(now time.Time, m Mark) {
-	t.take(now, m, nil, true)
-	t.attribute()
+// AddCrash records a crash that this process observed.
+func (t *Table) AddCrash(now time.Time, m Mark) {
+	t.mergeMark(now, m, nil, true)
+	t.updateCulprits()
 }
 
-// Merge takes what somebody else tells.
-func (t *Table) Merge(now time.Time, marks []Mark, from any) {
+// Merge applies marks received from another process or from the store.
+func (t *Table) Merge(now time.Time, marks []Mark, source any) {
 	for _, m := range marks {
-		t.take(now, m, from, false)
+		t.mergeMark(now, m, source, false)
 	}
-	t.attribute()
+	t.updateCulprits()
 }
 
-// take notes one mark.
-func (t *Table) take(now time.Time, m Mark, from any, own bool) {
+// mergeMark applies one mark.
+func (t *Table) mergeMark(now time.Time, m Mark, source any, local bool) {
 	if m.At.After(now) {
-		m.At = now // another host's clock is ahead
+		m.At = now // the clock of the sending host is ahead
 	}
-	m.At = m.At.Truncate(time.Millisecond) // as others are told it
-	if now.Sub(m.At) > forgetAfter {
+	m.At = m.At.Truncate(time.Millisecond) // wire precision: all processes compare equal times
+	if now.Sub(m.At) > markTTL {
 		return
 	}
 	rec := t.records[m.Key]
 	if rec == nil {
-		rec = &record{key: m.Key, marks: make(map[targets.Life]*noted)}
+		rec = &record{key: m.Key, marks: make(map[targets.Life]*trackedMark)}
 	}
 	old := rec.marks[m.Target]
 	if old != nil {
-		old.own = old.own || own
+		old.local = old.local || local
 	}
 	switch {
 	case old == nil && !rec.makeRoom(m):
 		return
 	case old == nil:
-		old = &noted{Mark: m, own: own}
+		old = &trackedMark{Mark: m, local: local}
 		rec.marks[m.Target] = old
 	case (!m.Void || old.Void) && (!m.Answered || old.Answered):
 		return // nothing new
@@ -149,20 +154,20 @@
 		return
 	}
 	t.records[m.Key] = rec
-	t.note(old, from)
-	if !old.Void && t.answered(now, m.Key) {
+	t.recordChange(old, source)
+	if !old.Void && t.answeredRecently(now, m.Key) {
 		old.Void = true
-		t.note(old, nil)
+		t.recordChange(old, nil)
 	}
 }
 
-// makeRoom drops the oldest mark when there are too many. It reports false when the new
-// one is the oldest.
+// makeRoom drops the oldest mark if the record is full. It reports false if the new mark is the
+// oldest.
 func (r *record) makeRoom(m Mark) bool {
-	if len(r.marks) < marksMost {
+	if len(r.marks) < maxMarksPerKey {
 		return true
 	}
-	var oldest *noted
+	var oldest *trackedMark
 	for _, o := range r.marks {
 		if oldest == nil || o.At.Before(oldest.At) {
 			oldest = o
@@ -175,20 +180,21 @@
 	return true
 }
 
-// note numbers a change.
-func (t *Table) note(m *noted, from any) {
+// recordChange assigns the next change number to a mark.
+func (t *Table) recordChange(m *trackedMark, source any) {
 	t.changes++
-	m.change, m.from = t.changes, from
-	if r := t.records[m.Key]; t.culprits[m.Key] || r.weight() >= weightHeld {
-		t.outdated = true
+	m.change, m.source = t.changes, source
+	if r := t.records[m.Key]; t.culprits[m.Key] || r.weight() >= holdThreshold {
+		t.dirty = true
 	}
 }
 
-// makeRoom drops the request that matters least when there are too many. It reports false
-// when that is the new one. What matters depends on the marks alone: processes that drop
-// different ones tell each other what they dropped, as news, for ever.
+// makeRoom drops the least important request if the table is full. It reports false if the new
+// request is the least important. The order depends on the marks alone: if processes dropped
+// different requests, each would relay to the others what they had dropped, and the exchange
+// would never end.
 func (t *Table) makeRoom(r *record) bool {
-	if len(t.records) < keysMost {
+	if len(t.records) < maxKeys {
 		return true
 	}
 	least := r
@@ -205,44 +211,46 @@
 	return true
 }
 
-// compare orders requests by how much they matter: by the crashes that count, up to those
-// that hold one, then by the last of them.
+// compare orders requests by importance: by weight, capped at holdThreshold, then by the time
+// of the last crash, then by key.
 func (r *record) compare(o *record) int {
 	return cmp.Or(
-		cmp.Compare(min(r.weight(), weightHeld), min(o.weight(), weightHeld)),
-		r.newest().Compare(o.newest()),
+		cmp.Compare(min(r.weight(), holdThreshold), min(o.weight(), holdThreshold)),
+		r.lastCrash().Compare(o.lastCrash()),
 		bytes.Compare(r.key[:], o.key[:]),
 	)
 }
 
-// Served takes a whole answer to a request: its target lived through it.
-func (t *Table) Served(now time.Time, key Key) {
+// RecordSuccess records a complete answer to a request, which its target survived, and clears
+// the request.
+func (t *Table) RecordSuccess(now time.Time, key Key) {
 	t.rotate(now)
-	if len(t.answers[0]) < answersMost {
+	if len(t.answers[0]) < maxAnswersPerSpan {
 		t.answers[0][key] = true
 	}
 	t.Clear(key)
 }
 
-// rotate begins a new span of answers when the last one is over.
+// rotate starts a new span of answers if the current one is over.
 func (t *Table) rotate(now time.Time) {
-	if now.Sub(t.rotated) < answerFor {
+	if now.Sub(t.rotatedAt) < answerSpan {
 		return
 	}
-	if now.Sub(t.rotated) > 2*answerFor {
+	if now.Sub(t.rotatedAt) > 2*answerSpan {
 		t.answers[0] = map[Key]bool{}
 	}
 	t.answers[0], t.answers[1] = map[Key]bool{}, t.answers[0]
-	t.rotated = now
+	t.rotatedAt = now
 }
 
-// answered reports whether a request had a whole answer lately.
-func (t *Table) answered(now time.Time, key Key) bool {
+// answeredRecently reports whether the request was answered completely in this span or the one
+// before.
+func (t *Table) answeredRecently(now time.Time, key Key) bool {
 	t.rotate(now)
 	return t.answers[0][key] || t.answers[1][key]
 }
 
-// Clear voids all that counts against a request. It reports false when nothing does.
+// Clear voids all marks of a request. It reports false if no crash counts against it.
 func (t *Table) Clear(key Key) bool {
 	rec := t.records[key]
 	if rec == nil || rec.weight() == 0 {
@@ -251,10 +259,10 @@
 	for _, m := range rec.marks {
 		if !m.Void {
 			m.Void = true
-			t.note(m, nil)
+			t.recordChange(m, nil)
 		}
 	}
-	t.attribute()
+	t.updateCulprits()
 	return true
 }
 
@@ -263,28 +271,28 @@
 	if !t.culprits[key] {
 		return time.Time{}, false
 	}
-	until = t.records[key].newest().Add(HoldFor)
+	until = t.records[key].lastCrash().Add(HoldFor)
 	return until, now.Before(until)
 }
 
-// Expire forgets what is too old to count.
+// Expire drops marks older than markTTL.
 func (t *Table) Expire(now time.Time) {
 	for key, r := range t.records {
-		for life, m := range r.marks {
-			if now.Sub(m.At) > forgetAfter {
-				delete(r.marks, life)
-				t.outdated = true
+		for target, m := range r.marks {
+			if now.Sub(m.At) > markTTL {
+				delete(r.marks, target)
+				t.dirty = true
 			}
 		}
 		if len(r.marks) == 0 {
 			delete(t.records, key)
 		}
 	}
-	t.attribute()
+	t.updateCulprits()
 }
 
-// Holds returns the requests that are held now.
-func (t *Table) Holds(now time.Time) []Key {
+// HeldKeys returns the requests that are held now.
+func (t *Table) HeldKeys(now time.Time) []Key {
 	var out []Key
 	for key := range t.culprits {
 		if _, held := t.Held(now, key); held {
@@ -294,23 +302,23 @@
 	return out
 }
 
-// Changes counts the changes so far.
+// Changes returns the number of changes so far.
 func (t *Table) Changes() uint64 {
 	return t.changes
 }
 
-// Since returns the marks that have changed after a number of changes, but for those
-// that somebody told this process himself, in the order of their changes.
-func (t *Table) Since(changes uint64, except any) []Mark {
-	var all []*noted
+// MarksSince returns the marks changed after the given change number, in the order of their
+// changes, without those whose last change was received from except.
+func (t *Table) MarksSince(changes uint64, except any) []Mark {
+	var all []*trackedMark
 	for _, r := range t.records {
 		for _, m := range r.marks {
-			if m.change > changes && (m.from == nil || m.from != except) {
+			if m.change > changes && (m.source == nil || m.source != except) {
 				all = append(all, m)
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b *noted) int { return int(a.change) - int(b.change) })
+	slices.SortFunc(all, func(a, b *trackedMark) int { return int(a.change) - int(b.change) })
 	out := make([]Mark, 0, len(all))
 	for _, m := range all {
 		out = append(out, m.Mark)
@@ -318,35 +326,35 @@
 	return out
 }
 
-// Case is a request that crashes are counted against.
-type Case struct {
-	Key     Key
-	Crashes []Mark // that count, the oldest first
-	Until   time.Time
-	Held    bool
-	Own     bool   // this process saw one of the crashes
-	Change  uint64 // the last one
+// Suspect is a request that crashes are counted against.
+type Suspect struct {
+	Key        Key
+	Crashes    []Mark // that are not void, the oldest first
+	Until      time.Time
+	Held       bool
+	Local      bool   // this process observed one of the crashes
+	LastChange uint64 // change number of the latest change to one of its marks
 }
 
-// Cases returns the requests that crashes are counted against, by key.
-func (t *Table) Cases(now time.Time) []Case {
-	var out []Case
+// Suspects returns the requests that crashes are counted against, ordered by key.
+func (t *Table) Suspects(now time.Time) []Suspect {
+	var out []Suspect
 	for key, r := range t.records {
-		c := Case{Key: key}
+		s := Suspect{Key: key}
 		for _, m := range r.marks {
-			c.Change = max(c.Change, m.change)
+			s.LastChange = max(s.LastChange, m.change)
 			if !m.Void {
-				c.Own = c.Own || m.own
-				c.Crashes = append(c.Crashes, m.Mark)
+				s.Local = s.Local || m.local
+				s.Crashes = append(s.Crashes, m.Mark)
 			}
 		}
-		if len(c.Crashes) == 0 {
+		if len(s.Crashes) == 0 {
 			continue
 		}
-		slices.SortFunc(c.Crashes, func(a, b Mark) int { return a.At.Compare(b.At) })
-		c.Until, c.Held = t.Held(now, key)
-		out = append(out, c)
+		slices.SortFunc(s.Crashes, func(a, b Mark) int { return a.At.Compare(b.At) })
+		s.Until, s.Held = t.Held(now, key)
+		out = append(out, s)
 	}
-	slices.SortFunc(out, func(a, b Case) int { return bytes.Compare(a.Key[:], b.Key[:]) })
+	slices.SortFunc(out, func(a, b Suspect) int { return bytes.Compare(a.Key[:], b.Key[:]) })
 	return out
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -15,25 +15,25 @@
 var start = time.Unix(1000, 0)
 
 func mark(key, target int, after time.Duration) quarantine.Mark {
-	return quarantine.Mark{Key: keyed(key), Target: targets.Life{ID: fmt.Sprint("t", target)}, At: start.Add(after)}
+	return quarantine.Mark{Key: testKey(key), Target: targets.Life{ID: fmt.Sprint("t", target)}, At: start.Add(after)}
 }
 
-// verdicts returns what a table says of each request that crashes are counted against.
-func verdicts(t *quarantine.Table, now time.Time) []string {
+// suspectStates describes each suspect of a table as a line of text.
+func suspectStates(t *quarantine.Table, now time.Time) []string {
 	var out []string
-	for _, c := range t.Cases(now) {
-		out = append(out, fmt.Sprint(c.Key, c.Held, c.Until.UnixMilli(), len(c.Crashes)))
+	for _, s := range t.Suspects(now) {
+		out = append(out, fmt.Sprint(s.Key, s.Held, s.Until.UnixMilli(), len(s.Crashes)))
 	}
 	return out
 }
 
-// Processes hear of crashes and of answers from each other, in any order and more than
-// once, and must come to hold the same requests.
-func TestAllComeToHoldTheSame(t *testing.T) {
+// Processes receive marks of crashes and answers from each other in any order and more than
+// once. They must converge to the same held requests.
+func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one := rapid.Custom(func(t *rapid.T) quarantine.Mark {
 			m := mark(rapid.IntRange(0, 4).Draw(t, "key"), rapid.IntRange(0, 9).Draw(t, "target"), 0)
-			m.At = m.At.Add(time.Duration(len(m.Target.ID)) * time.Second) // the same wherever it is told
+			m.At = m.At.Add(time.Duration(len(m.Target.ID)) * time.Second) // the same time for each report of one crash
 			m.Answered = rapid.Bool().Draw(t, "answered")
 			m.Void = rapid.IntRange(0, 5).Draw(t, "void") == 0
 			return m
@@ -45,102 +45,103 @@
 		for _, m := range rapid.Permutation(all).Draw(t, "order") {
 			b.Merge(now, []quarantine.Mark{m}, nil)
 		}
-		b.Merge(now, a.Since(0, nil), nil)
-		if !slices.Equal(verdicts(a, now), verdicts(b, now)) {
-			t.Fatalf("%v and %v", verdicts(a, now), verdicts(b, now))
+		b.Merge(now, a.MarksSince(0, nil), nil)
+		if !slices.Equal(suspectStates(a, now), suspectStates(b, now)) {
+			t.Fatalf("tables differ: %v and %v", suspectStates(a, now), suspectStates(b, now))
 		}
 	})
 }
 
-// A request that was held ran well elsewhere, or an operator cleared it. An older word of
-// its crashes that comes afterwards does not hold it again.
-func TestWhatIsClearedStaysCleared(t *testing.T) {
+// A held request completes elsewhere or is cleared by an operator. Marks from before that
+// arrive again afterwards must not hold it again.
+func TestClearedRequestIsNotHeldAgainByOldMarks(t *testing.T) {
 	now := start.Add(time.Second)
-	for name, clearIt := range map[string]func(*quarantine.Table){
-		"served":  func(tab *quarantine.Table) { tab.Served(now, keyed(1)) },
-		"cleared": func(tab *quarantine.Table) { tab.Clear(keyed(1)) },
+	for name, clearRequest := range map[string]func(*quarantine.Table){
+		"served":  func(tab *quarantine.Table) { tab.RecordSuccess(now, testKey(1)) },
+		"cleared": func(tab *quarantine.Table) { tab.Clear(testKey(1)) },
 	} {
 		old := []quarantine.Mark{mark(1, 1, 0), mark(1, 2, 0), mark(1, 3, 0)}
 		tab := quarantine.NewTable()
 		tab.Merge(now, old, nil)
-		if _, held := tab.Held(now, keyed(1)); !held {
-			t.Fatal("three crashes do not hold a request")
+		if _, held := tab.Held(now, testKey(1)); !held {
+			t.Fatal("request not held after three crashes")
 		}
-		clearIt(tab)
+		clearRequest(tab)
 		tab.Merge(now, old, nil)
-		if _, held := tab.Held(now, keyed(1)); held {
-			t.Errorf("%s: held again by what was known before", name)
+		if _, held := tab.Held(now, testKey(1)); held {
+			t.Errorf("%s: held again by old marks", name)
 		}
 	}
 }
 
-// A hold ends by itself. One more crash then holds the request anew, an answer clears it.
-func TestAHoldEndsByItself(t *testing.T) {
+// A hold ends after HoldFor. A further crash then holds the request again, and its marks
+// expire.
+func TestHoldExpires(t *testing.T) {
 	tab := quarantine.NewTable()
 	for n := range 3 {
-		tab.Add(start, mark(1, n, 0))
+		tab.AddCrash(start, mark(1, n, 0))
 	}
-	if until, held := tab.Held(start, keyed(1)); !held || !until.Equal(start.Add(quarantine.HoldFor)) {
+	if until, held := tab.Held(start, testKey(1)); !held || !until.Equal(start.Add(quarantine.HoldFor)) {
 		t.Fatalf("held %v until %v", held, until)
 	}
 	over := start.Add(quarantine.HoldFor)
-	if _, held := tab.Held(over, keyed(1)); held {
-		t.Fatal("held for ever")
+	if _, held := tab.Held(over, testKey(1)); held {
+		t.Fatal("still held after the hold has ended")
 	}
-	tab.Add(over, mark(1, 9, quarantine.HoldFor))
-	if _, held := tab.Held(over, keyed(1)); !held {
+	tab.AddCrash(over, mark(1, 9, quarantine.HoldFor))
+	if _, held := tab.Held(over, testKey(1)); !held {
 		t.Fatal("not held after one more crash")
 	}
 	tab.Expire(over.Add(2*quarantine.HoldFor + time.Second))
-	if all := tab.Since(0, nil); len(all) > 0 {
-		t.Fatalf("still known: %v", all)
+	if all := tab.MarksSince(0, nil); len(all) > 0 {
+		t.Fatalf("marks not expired: %v", all)
 	}
 }
 
-// The clock of a host that is ahead must not hold a request for longer.
-func TestAClockAheadHoldsNoLonger(t *testing.T) {
+// A mark from a host whose clock is ahead must not extend the hold.
+func TestFutureMarkDoesNotExtendHold(t *testing.T) {
 	tab := quarantine.NewTable()
 	for n := range 3 {
 		tab.Merge(start, []quarantine.Mark{mark(1, n, time.Hour)}, nil)
 	}
-	if until, held := tab.Held(start, keyed(1)); !held || until.After(start.Add(quarantine.HoldFor)) {
+	if until, held := tab.Held(start, testKey(1)); !held || until.After(start.Add(quarantine.HoldFor)) {
 		t.Fatalf("held %v until %v", held, until)
 	}
 }
 
-// A caller that has many different requests crash targets makes others forget neither
-// those that are held nor grows what they keep.
-func TestManyCrashesFillNoMemory(t *testing.T) {
+// A caller sends many different requests that crash targets. The table must neither forget a
+// held request nor grow beyond its bounds.
+func TestTableIsBounded(t *testing.T) {
 	tab := quarantine.NewTable()
 	for n := range 3 {
-		tab.Add(start, mark(1, n, 0))
+		tab.AddCrash(start, mark(1, n, 0))
 	}
 	for n := range 5000 {
-		tab.Add(start, mark(10+n, 10+n, time.Millisecond))
-		tab.Add(start, mark(1, 10+n, 0))
+		tab.AddCrash(start, mark(10+n, 10+n, time.Millisecond))
+		tab.AddCrash(start, mark(1, 10+n, 0))
 	}
-	if _, held := tab.Held(start, keyed(1)); !held {
-		t.Error("the held one was forgotten")
+	if _, held := tab.Held(start, testKey(1)); !held {
+		t.Error("the held request was dropped")
 	}
-	const keysMost, marksMost = 512, 16
-	if n := len(tab.Since(0, nil)); n > keysMost+marksMost {
-		t.Errorf("%d marks are kept", n)
+	const maxKeys, maxMarksPerKey = 512, 16
+	if n := len(tab.MarksSince(0, nil)); n > maxKeys+maxMarksPerKey {
+		t.Errorf("got %d marks, more than the table's bounds allow", n)
 	}
 }
 
-// Fifty targets crashed within seconds, and more requests had been at them than a process
-// keeps. Each process dropped others than its neighbours, took what these told it of the
-// dropped ones for news, dropped something else for it and told that in turn: a play of the
-// incident used ten times its processor time and was given up. What is dropped has to be the
-// same everywhere, so that the word comes to rest.
-func TestTooManyRequestsComeToRest(t *testing.T) {
+// After many crashes within seconds there are more requests than a table holds. If processes
+// drop different requests, each takes the dropped ones that others report as new, drops others
+// for them and reports those in turn, without end. A run with fifty crashed targets used ten
+// times its usual processor time and did not finish. All processes must drop the same requests,
+// so that the exchange terminates.
+func TestExchangeTerminatesWhenTableOverflows(t *testing.T) {
 	const processes, requests = 3, 1000
 	var tables [processes]*quarantine.Table
 	for i := range tables {
 		tables[i] = quarantine.NewTable()
 	}
 	for n := range requests {
-		tables[n%processes].Add(start, mark(n, n/8, time.Duration(n%7)*time.Millisecond))
+		tables[n%processes].AddCrash(start, mark(n, n/8, time.Duration(n%7)*time.Millisecond))
 	}
 	changes := func() (sum uint64) {
 		for _, tab := range tables {
@@ -156,21 +157,21 @@
 		before = changes()
 		for _, a := range tables {
 			for _, b := range tables {
-				b.Merge(start, a.Since(0, b), a) // all, as when a target is new and its agent is asked
+				b.Merge(start, a.MarksSince(0, b), a) // all marks, as sent to a new process
 			}
 		}
 	}
 	for _, tab := range tables[1:] {
-		if !slices.Equal(verdicts(tables[0], start), verdicts(tab, start)) {
-			t.Error("two processes keep different requests")
+		if !slices.Equal(suspectStates(tables[0], start), suspectStates(tab, start)) {
+			t.Error("tables hold different requests")
 		}
 	}
 }
 
-// A caller has so many different requests crash targets that the table is full of held
-// ones. Deciding anew at each mark took time that grew with the cube of their number, so that
-// a process did nothing else. The work for one more mark has a bound.
-func TestAFullTableStaysCheap(t *testing.T) {
+// A caller sends so many different requests that crash targets that the table is full of held
+// ones. Recomputing the culprits for each mark took time cubic in the number of requests and
+// left no time for other work. The cost of one more mark must stay bounded.
+func TestFullTableCostIsBounded(t *testing.T) {
 	const requests, crashes = 512, 16
 	tab := quarantine.NewTable()
 	for k := range requests {
@@ -180,25 +181,26 @@
 		}
 		tab.Merge(start, marks, nil)
 	}
-	if n := len(tab.Holds(start)); n != requests {
-		t.Fatalf("%d are held", n)
+	if n := len(tab.HeldKeys(start)); n != requests {
+		t.Fatalf("%d requests are held", n)
 	}
 }
 
-// A popular request was at three crashes of another's making, at two of them with six and
-// five events of its answer already there, and was held. What had begun to answer counts
-// half; a request that crashes its targets later than that is held after twice as many.
-func TestWhatHadBegunToAnswerCountsHalf(t *testing.T) {
+// A popular request was present at three crashes that another request caused, at two of them
+// with six and five events of its answer received, and was held wrongly. Crashes after the
+// answer began therefore count half, and a request that crashes its targets that late is held
+// after six crashes.
+func TestCrashAfterAnswerBeganCountsHalf(t *testing.T) {
 	tab := quarantine.NewTable()
 	for n := range 6 {
-		if _, held := tab.Held(start, keyed(1)); held {
+		if _, held := tab.Held(start, testKey(1)); held {
 			t.Fatalf("held after %d crashes", n)
 		}
 		m := mark(1, n, 0)
 		m.Answered = true
-		tab.Add(start, m)
+		tab.AddCrash(start, m)
 	}
-	if _, held := tab.Held(start, keyed(1)); !held {
+	if _, held := tab.Held(start, testKey(1)); !held {
 		t.Error("not held after six crashes")
 	}
 }
