--- a/access/access.go
+++ b/access/access.go
@@ -1,9 +1,9 @@
-// Package access tells which workspace a request comes from and whether its key is good.
+// Package access authenticates callers: it maps the key of a request to a workspace.
 //
-// A key may be served only while the configuration that knows it is confirmed to be the
-// newest: a host that is cut off from the store would otherwise serve keys that have been
-// taken away. The time since the last confirmation is a lease, which each read of the
-// configuration renews; once it has run out requests with a key are refused as not run.
+// A key is accepted only while the local configuration is confirmed to be the newest, since a
+// host that is cut off from the store would otherwise accept revoked keys. The time since the
+// last confirmation is limited by a lease, which each read of the configuration renews. Once
+// the lease has expired, requests with a key are refused as not run.
 package access
 
 import (
@@ -16,33 +16,33 @@
 	"pumiceford/catalog"
 )
 
-// Bounds of a Gate.
+// Bounds of authentication.
 const (
-	// leaseShare is the part of the time for which a key may outlive its revocation that
-	// the lease lasts. The rest is for clocks that run at different rates.
-	leaseShare = 0.92
-	// lookTimeout bounds how long a request is held for a look at the store.
-	lookTimeout = 300 * time.Millisecond
-	// lookEvery is the least time between two looks for unknown keys.
-	lookEvery = 100 * time.Millisecond
-	// failedPause is left after a look that failed: requests in it are refused at once.
-	failedPause = 250 * time.Millisecond
-	// comeBack is when to try again after a refusal. Another host, which the caller
-	// reaches then, usually has a way to the store.
-	comeBack = 100 * time.Millisecond
+	// leaseFraction is the ratio of the lease to the time for which a revoked key may still be
+	// accepted. The rest allows for clocks that run at different rates.
+	leaseFraction = 0.92
+	// refreshTimeout bounds how long a request waits for a read of the store.
+	refreshTimeout = 300 * time.Millisecond
+	// minRefreshInterval is the least time between two reads of the store for unknown keys.
+	minRefreshInterval = 100 * time.Millisecond
+	// failureBackoff is the time after a failed read in which requests are refused at once.
+	failureBackoff = 250 * time.Millisecond
+	// retryAfter is the retry-after time of a refusal. The caller then usually reaches another
+	// host, which usually has a connection to the store.
+	retryAfter = 100 * time.Millisecond
 )
 
-// Errors of Identify.
+// Errors of authentication.
 var (
-	// ErrNotReady says that no configuration is known yet.
+	// ErrNotReady is returned until the first configuration has been received.
 	ErrNotReady = errors.New("no configuration is known")
-	// ErrUnknownKey says that no workspace has the key, or that there is none.
+	// ErrUnknownKey is returned if no workspace has the key or the request has no valid key.
 	ErrUnknownKey = errors.New("no workspace has this key")
 )
 
-// StaleError says that the configuration could not be confirmed to be the newest.
+// StaleError is returned if the configuration could not be confirmed to be the newest.
 type StaleError struct {
-	Age time.Duration // since it was last confirmed, -1 if it never was
+	Age time.Duration // since the last confirmation; the largest Duration if there was none
 }
 
 // Error implements error.
@@ -50,56 +50,55 @@
 	return "configuration was last confirmed " + e.Age.String() + " ago"
 }
 
-// RetryAfter returns when a refused request is worth another try.
-func (e *StaleError) RetryAfter() time.Duration { return comeBack }
+// RetryAfter returns when the caller should retry a refused request.
+func (e *StaleError) RetryAfter() time.Duration { return retryAfter }
 
-// Source is the configuration with the time of its last confirmation.
+// Source provides the configuration's confirmations.
 type Source interface {
-	// Confirmed returns when, by the clock of the Gate, the configuration was last known
-	// to be the newest. It reports false if it never was.
+	// Confirmed returns the time, by Config.Clock, at which the configuration was last known to
+	// be the newest. It reports false if it was never confirmed.
 	Confirmed() (time.Duration, bool)
-	// Confirm makes sure that this is at most maxAge ago.
+	// Confirm ensures that the last confirmation is at most maxAge ago.
 	Confirm(ctx context.Context, maxAge time.Duration) error
 }
 
-// Config says what a Gate works with.
+// Config holds what NewGate needs.
 type Config struct {
-	Catalog func() *catalog.Catalog // in force, nil while none is known
+	Catalog func() *catalog.Catalog // in force; nil until one is known
 	Source  Source
-	// KeyLease is how long after it was taken away a key may still be served; 0 sets no
-	// bound.
+	// KeyLease is how long a key may still be accepted after its revocation; 0 sets no bound.
 	KeyLease time.Duration
-	// Clock is steady and counts the time in which the host is suspended.
+	// Clock is monotonic and includes the time for which the host is suspended.
 	Clock func() time.Duration
 }
 
-// Gate identifies callers. It is safe for concurrent use.
+// Gate authenticates callers by their keys. It is safe for concurrent use.
 type Gate struct {
-	cfg   Config
-	lease time.Duration
-	wrong *wrongKeys
+	cfg     Config
+	lease   time.Duration
+	unknown *unknownKeys
 
-	mu      sync.Mutex
-	failed  time.Duration // when a look last failed
-	failing bool          // none has succeeded since
+	mu                sync.Mutex
+	lastRefresh       time.Duration // time of the last read
+	lastRefreshFailed bool          // whether the last read failed
 }
 
-// NewGate returns a Gate.
+// NewGate returns an instance for cfg.
 func NewGate(cfg Config) *Gate {
-	return &Gate{cfg: cfg, lease: time.Duration(leaseShare * float64(cfg.KeyLease)), wrong: newWrongKeys()}
+	return &Gate{cfg: cfg, lease: time.Duration(leaseFraction * float64(cfg.KeyLease)), unknown: newUnknownKeys()}
 }
 
-// Identity is who sent a request.
+// Identity identifies the sender of a request.
 type Identity struct {
-	// Workspace is nil for a caller who needs no key and has none.
+	// Workspace is nil for a caller without a valid key where none is required.
 	Workspace *catalog.Workspace
-	// Version is that of the catalog which names the workspace.
+	// Version is the version of the catalog that Workspace was read from.
 	Version int64
-	// Keyed says that requests need a key here: the key itself goes no further.
+	// Keyed says that the catalog requires keys. The key itself is not passed on.
 	Keyed bool
 }
 
-// Name returns the workspace's name, "" for none.
+// Name returns the name of the workspace, or "" if there is none.
 func (i Identity) Name() string {
 	if i.Workspace == nil {
 		return ""
@@ -107,114 +106,115 @@
 	return i.Workspace.Name
 }
 
-// Identify returns who sent a request with these credentials. open says that it needs no
-// key. Its errors are ErrNotReady, ErrUnknownKey and *StaleError.
-func (g *Gate) Identify(ctx context.Context, credentials []string, open bool) (Identity, error) {
-	cat := g.cfg.Catalog()
+// Identify returns the sender of a request with the given credentials. A request with
+// keyOptional is accepted without a valid key. The error is ErrNotReady, ErrUnknownKey or a
+// *StaleError.
+func (a *Gate) Identify(ctx context.Context, credentials []string, keyOptional bool) (Identity, error) {
+	cat := a.cfg.Catalog()
 	if cat == nil {
 		return Identity{}, ErrNotReady
 	}
 	if !cat.Keyed() {
 		return Identity{}, nil
 	}
-	id, err := g.holder(ctx, credentials)
-	if err != nil && open {
+	id, err := a.identifyKey(ctx, credentials)
+	if err != nil && keyOptional {
 		return Identity{Keyed: true}, nil
 	}
 	return id, err
 }
 
-// holder returns the workspace that the credentials belong to.
-func (g *Gate) holder(ctx context.Context, credentials []string) (Identity, error) {
+// identifyKey returns the workspace that the credentials belong to.
+func (a *Gate) identifyKey(ctx context.Context, credentials []string) (Identity, error) {
 	key, ok := parseBearer(credentials)
 	if !ok {
 		return Identity{}, ErrUnknownKey
 	}
 	digest := catalog.DigestKey(key)
-	if err := g.confirm(ctx, digest); err != nil {
+	if err := a.confirm(ctx, digest); err != nil {
 		return Identity{}, err
 	}
-	// Looked up after the confirmation: a catalog from before it may be older.
-	cat := g.cfg.Catalog()
+	// The catalog is read after the confirmation, since an earlier one may be out of date.
+	cat := a.cfg.Catalog()
 	if ws := cat.KeyHolder(digest); ws != nil {
 		return Identity{Workspace: ws, Version: cat.Version, Keyed: true}, nil
 	}
-	g.wrong.add(digest, g.cfg.Clock())
+	a.unknown.add(digest, a.cfg.Clock())
 	return Identity{}, ErrUnknownKey
 }
 
-// confirm makes sure that what the catalog says of a key counts.
-func (g *Gate) confirm(ctx context.Context, key catalog.KeyDigest) error {
-	if g.cfg.Catalog().KeyHolder(key) == nil {
-		if g.wrong.has(key, g.cfg.Clock()) {
+// confirm ensures that the catalog is recent enough to decide on the key.
+func (a *Gate) confirm(ctx context.Context, key catalog.KeyDigest) error {
+	if a.cfg.Catalog().KeyHolder(key) == nil {
+		if a.unknown.contains(key, a.cfg.Clock()) {
 			return nil
 		}
-		// It may have come with a version that has not arrived here yet.
-		return g.look(ctx, lookEvery)
+		// The key may belong to a version that has not been received yet.
+		return a.refresh(ctx, minRefreshInterval)
 	}
-	if g.lease <= 0 || g.age() <= g.lease {
+	if a.lease <= 0 || a.age() <= a.lease {
 		return nil
 	}
-	return g.look(ctx, g.lease)
+	return a.refresh(ctx, a.lease)
 }
 
-// look confirms the configuration unless that was done within maxAge.
-func (g *Gate) look(ctx context.Context, maxAge time.Duration) error {
-	if g.pausing() {
-		return &StaleError{Age: g.age()}
+// refresh confirms the configuration unless it was confirmed within maxAge.
+func (a *Gate) refresh(ctx context.Context, maxAge time.Duration) error {
+	if a.backingOff() {
+		return &StaleError{Age: a.age()}
 	}
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
-	err := g.cfg.Source.Confirm(ctx, maxAge)
-	g.noteLook(err == nil)
+	err := a.cfg.Source.Confirm(ctx, maxAge)
+	a.recordRefresh(err == nil)
 	if err != nil {
-		return &StaleError{Age: g.age()}
+		return &StaleError{Age: a.age()}
 	}
 	return nil
 }
 
-// pausing reports whether the last look failed just now.
-func (g *Gate) pausing() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.failing && g.cfg.Clock()-g.failed < failedPause
+// backingOff reports whether the last read failed within failureBackoff.
+func (a *Gate) backingOff() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.lastRefreshFailed && a.cfg.Clock()-a.lastRefresh < failureBackoff
 }
 
-func (g *Gate) noteLook(ok bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.failing = !ok
-	g.failed = g.cfg.Clock()
+func (a *Gate) recordRefresh(ok bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.lastRefreshFailed = !ok
+	a.lastRefresh = a.cfg.Clock()
 }
 
-// never is the age of a configuration that was never confirmed.
-const never = time.Duration(1<<63 - 1)
+// neverConfirmed is the age of a configuration that was never confirmed.
+const neverConfirmed = time.Duration(1<<63 - 1)
 
-// age returns how long ago the configuration was confirmed.
-func (g *Gate) age() time.Duration {
-	at, ok := g.cfg.Source.Confirmed()
+// age returns the time since the last confirmation, or neverConfirmed.
+func (a *Gate) age() time.Duration {
+	at, ok := a.cfg.Source.Confirmed()
 	if !ok {
-		return never
+		return neverConfirmed
 	}
-	return g.cfg.Clock() - at
+	return a.cfg.Clock() - at
 }
 
-// Renew confirms the configuration well before the lease runs out, where keys are in use.
-// It is to be called several times in each lease.
-func (g *Gate) Renew(ctx context.Context) error {
-	cat := g.cfg.Catalog()
-	if g.lease <= 0 || cat == nil || !cat.Keyed() {
+// Renew confirms the configuration well before the lease expires, if keys are in use. It is
+// called several times within each lease.
+func (a *Gate) Renew(ctx context.Context) error {
+	cat := a.cfg.Catalog()
+	if a.lease <= 0 || cat == nil || !cat.Keyed() {
 		return nil
 	}
-	return g.cfg.Source.Confirm(ctx, g.lease/renewPart)
+	return a.cfg.Source.Confirm(ctx, a.lease/renewDivisor)
 }
 
-// renewPart is the part of the lease after which it is renewed. What is left covers a
-// store that answers nothing before a way through a peer is found.
-const renewPart = 3
+// renewDivisor is the ratio of the lease to the age at which it is renewed. The remaining time
+// covers a store that does not answer until a route through a peer is found.
+const renewDivisor = 3
 
-// Age returns how long ago the configuration was confirmed, and false if it never was.
-func (g *Gate) Age() (time.Duration, bool) {
-	a := g.age()
-	return a, a != never
+// Age returns the time since the last confirmation. It reports false if there was none.
+func (a *Gate) Age() (time.Duration, bool) {
+	age := a.age()
+	return age, age != neverConfirmed
 }
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -18,38 +18,40 @@
 	"pumiceford/store"
 )
 
-var part = store.Partition{Topic: "config"}
+var configPartition = store.Partition{Topic: "config"}
 
-// plane is a host's view of a configuration that holds the keys of one workspace.
-type plane struct {
-	store   *sharedstore.Store
-	current catalog.Current
-	follow  *store.Follower
-	gate    *Gate
-	began   time.Time
-	ahead   atomic.Int64 // nanoseconds in which the host was suspended
+// testHost is a host that follows a configuration with the keys of one workspace.
+type testHost struct {
+	store     *sharedstore.Store
+	current   catalog.Current
+	follower  *store.Follower
+	auth      *Gate
+	start     time.Time
+	suspended atomic.Int64 // in nanoseconds
 }
 
-func (p *plane) clock() time.Duration { return time.Since(p.began) + time.Duration(p.ahead.Load()) }
+func (h *testHost) clock() time.Duration {
+	return time.Since(h.start) + time.Duration(h.suspended.Load())
+}
 
 // Reset implements store.Sink.
-func (p *plane) Reset(recs []store.Record) { p.Apply(recs...) }
+func (h *testHost) Reset(recs []store.Record) { h.Apply(recs...) }
 
 // Apply implements store.Sink.
-func (p *plane) Apply(recs ...store.Record) {
+func (h *testHost) Apply(recs ...store.Record) {
 	for _, r := range recs {
-		p.current.Offer(decode(r.Offset+1, string(r.Value)))
+		h.current.Offer(decode(r.Offset+1, string(r.Value)))
 	}
 }
 
-// written begins each value: the store takes an empty one for the end of its key, and no
-// operator ends the configuration.
-const written = "keys "
+// valuePrefix begins each value, since the store takes an empty value as a tombstone and the
+// configuration is never deleted.
+const valuePrefix = "keys "
 
-// decode returns a catalog whose one workspace has a key for each letter.
+// decode returns a catalog with one workspace that has one key for each letter of value.
 func decode(version int64, value string) *catalog.Catalog {
 	ws := catalog.Workspace{Name: "w"}
-	for _, l := range strings.TrimPrefix(value, written) {
+	for _, l := range strings.TrimPrefix(value, valuePrefix) {
 		ws.Keys = append(ws.Keys, catalog.DigestKey(string(l)))
 	}
 	return catalog.New(version, catalog.Limits{}, nil, nil).WithWorkspaces([]catalog.Workspace{ws})
@@ -57,178 +59,181 @@
 
 const keyLease = 5 * time.Second
 
-// self is the host under test.
-const self = "h"
+// hostName is the name of the host under test.
+const hostName = "h"
 
-func newPlane(ctx context.Context, s *sharedstore.Store) *plane {
-	p := &plane{store: s, began: time.Now()}
-	way := store.NewFailover(s.For(self), func() []store.Peer { return nil })
-	p.follow = store.NewFollower(way, part, p, store.FollowSettings{Wait: 2 * time.Second, Clock: p.clock})
-	p.gate = NewGate(Config{Catalog: p.current.Get, Source: p.follow, KeyLease: keyLease, Clock: p.clock})
-	go p.follow.Run(ctx)
+func newTestHost(ctx context.Context, s *sharedstore.Store) *testHost {
+	h := &testHost{store: s, start: time.Now()}
+	failover := store.NewFailover(s.For(hostName), func() []store.Peer { return nil })
+	h.follower = store.NewFollower(failover, configPartition, h, store.FollowSettings{Wait: 2 * time.Second, Clock: h.clock})
+	h.auth = NewGate(Config{Catalog: h.current.Get, Source: h.follower, KeyLease: keyLease, Clock: h.clock})
+	go h.follower.Run(ctx)
 	go func() {
 		for ctx.Err() == nil {
-			_ = p.gate.Renew(ctx) // a failure shows in what is refused
+			_ = h.auth.Renew(ctx) // a failure shows in refused requests
 			time.Sleep(250 * time.Millisecond)
 		}
 	}()
-	return p
+	return h
 }
 
-func (p *plane) put(letters string) { p.store.Put(part, "config", []byte(written+letters)) }
+func (h *testHost) put(letters string) {
+	h.store.Put(configPartition, "config", []byte(valuePrefix+letters))
+}
 
-func (p *plane) ask(ctx context.Context, key string) error {
-	_, err := p.gate.Identify(ctx, []string{"Bearer " + key}, false)
+func (h *testHost) identify(ctx context.Context, key string) error {
+	_, err := h.auth.Identify(ctx, []string{"Bearer " + key}, false)
 	return err
 }
 
-// bubble runs a test in virtual time.
-func bubble(t *testing.T, fn func(ctx context.Context, t *testing.T)) {
+// inVirtualTime runs a test in virtual time.
+func inVirtualTime(t *testing.T, fn func(ctx context.Context, t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() {
 			cancel()
-			time.Sleep(time.Minute) // calls that were given up end
+			time.Sleep(time.Minute) // lets abandoned calls return
 		}()
 		fn(ctx, t)
 	})
 }
 
-// Guards against a key that is refused because it came with a version that this host has
-// not read yet, and against one that is refused for good because it came too early once.
-func TestANewKeyIsLookedFor(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T) {
-		p := &plane{store: sharedstore.New(1), began: time.Now()}
-		p.put("a")
-		p.follow = store.NewFollower(p.store.For("h"), part, p, store.FollowSettings{Clock: p.clock})
-		p.gate = NewGate(Config{Catalog: p.current.Get, Source: p.follow, KeyLease: keyLease, Clock: p.clock})
-		if err := p.ask(ctx, "a"); !errors.Is(err, ErrNotReady) {
+// Guards against a key that is refused because it belongs to a version that this host has not
+// read yet, and against a key that is refused for ever because it was used before it existed.
+func TestNewKeyIsReadFromStore(t *testing.T) {
+	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
+		h := &testHost{store: sharedstore.New(1), start: time.Now()}
+		h.put("a")
+		h.follower = store.NewFollower(h.store.For("h"), configPartition, h, store.FollowSettings{Clock: h.clock})
+		h.auth = NewGate(Config{Catalog: h.current.Get, Source: h.follower, KeyLease: keyLease, Clock: h.clock})
+		if err := h.identify(ctx, "a"); !errors.Is(err, ErrNotReady) {
 			t.Fatalf("without a configuration: %v", err)
 		}
-		if err := p.follow.Confirm(ctx, 0); err != nil {
+		if err := h.follower.Confirm(ctx, 0); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(lookEvery + time.Millisecond)
-		p.put("ab") // nothing follows: only the look can find it
-		if err := p.ask(ctx, "b"); err != nil {
+		time.Sleep(minRefreshInterval + time.Millisecond)
+		h.put("ab") // nothing follows the store: only a refresh can find the key
+		if err := h.identify(ctx, "b"); err != nil {
 			t.Errorf("new key: %v", err)
 		}
-		if err := p.ask(ctx, "c"); !errors.Is(err, ErrUnknownKey) {
+		if err := h.identify(ctx, "c"); !errors.Is(err, ErrUnknownKey) {
 			t.Errorf("unknown key: %v", err)
 		}
-		p.put("abc")
-		time.Sleep(wrongFor + time.Millisecond)
-		if err := p.ask(ctx, "c"); err != nil {
-			t.Errorf("key that came later: %v", err)
+		h.put("abc")
+		time.Sleep(unknownKeyTTL + time.Millisecond)
+		if err := h.identify(ctx, "c"); err != nil {
+			t.Errorf("key added later: %v", err)
 		}
 	})
 }
 
-// Guards against the limits of one version that are taken for those of the next, which a
-// granter would then keep: the version has to be that of the catalog with the workspace.
-func TestAnIdentityNamesItsOwnVersion(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T) {
-		p := &plane{store: sharedstore.New(1), began: time.Now()}
-		p.put("a")
-		p.follow = store.NewFollower(p.store.For(self), part, p, store.FollowSettings{Clock: p.clock})
-		p.gate = NewGate(Config{Catalog: p.current.Get, Source: p.follow, KeyLease: keyLease, Clock: p.clock})
-		if err := p.follow.Confirm(ctx, 0); err != nil {
+// Guards against limits of one version that are taken for those of the next, which a granter
+// would then apply. The version must be that of the catalog which the workspace was read from.
+func TestIdentityHasVersionOfItsCatalog(t *testing.T) {
+	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
+		h := &testHost{store: sharedstore.New(1), start: time.Now()}
+		h.put("a")
+		h.follower = store.NewFollower(h.store.For(hostName), configPartition, h, store.FollowSettings{Clock: h.clock})
+		h.auth = NewGate(Config{Catalog: h.current.Get, Source: h.follower, KeyLease: keyLease, Clock: h.clock})
+		if err := h.follower.Confirm(ctx, 0); err != nil {
 			t.Fatal(err)
 		}
-		was := p.current.Get()
-		id, err := p.gate.Identify(ctx, []string{"Bearer a"}, false)
+		before := h.current.Get()
+		id, err := h.auth.Identify(ctx, []string{"Bearer a"}, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.put("ab")
+		h.put("ab")
 		time.Sleep(time.Millisecond)
-		if err := p.follow.Confirm(ctx, 0); err != nil {
+		if err := h.follower.Confirm(ctx, 0); err != nil {
 			t.Fatal(err)
 		}
-		if id.Version != was.Version || id.Version == p.current.Get().Version {
-			t.Errorf("version %d, the workspace is of %d", id.Version, was.Version)
+		if id.Version != before.Version || id.Version == h.current.Get().Version {
+			t.Errorf("got version %d, expected %d", id.Version, before.Version)
 		}
 	})
 }
 
-// Guards against a flood of wrong keys that costs the store a call for each.
-func TestWrongKeysCostFewLooks(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T) {
+// Guards against a flood of unknown keys that causes a call to the store for each.
+func TestUnknownKeysCauseFewStoreCalls(t *testing.T) {
+	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
-		p := newPlane(ctx, s)
-		p.put("a")
+		h := newTestHost(ctx, s)
+		h.put("a")
 		synctest.Wait()
 		before := s.Calls()
 		const seconds, perSecond = 5, 400
 		var all sync.WaitGroup
 		for n := range seconds * perSecond {
 			all.Go(func() {
-				if err := p.ask(ctx, fmt.Sprint("wrong", n)); !errors.Is(err, ErrUnknownKey) {
-					t.Errorf("wrong key: %v", err)
+				if err := h.identify(ctx, fmt.Sprint("wrong", n)); !errors.Is(err, ErrUnknownKey) {
+					t.Errorf("unknown key: %v", err)
 				}
 			})
 			time.Sleep(time.Second / perSecond)
 		}
 		all.Wait()
-		most := int(seconds*time.Second/lookEvery) + seconds*5 // and what follows and renews
-		if got := s.Calls() - before; got > most {
-			t.Errorf("%d calls for %d wrong keys", got, seconds*perSecond)
+		maxCalls := int(seconds*time.Second/minRefreshInterval) + seconds*5 // plus the calls of the follower and of Renew
+		if got := s.Calls() - before; got > maxCalls {
+			t.Errorf("got %d calls to the store for %d unknown keys", got, seconds*perSecond)
 		}
 		before = s.Calls()
 		for range perSecond {
-			_ = p.ask(ctx, "same") // counted only
+			_ = h.identify(ctx, "same") // only the calls to the store are checked
 		}
 		if got := s.Calls() - before; got > 1 {
-			t.Errorf("%d calls for one wrong key", got)
+			t.Errorf("got %d calls to the store for one unknown key", got)
 		}
 	})
 }
 
-// Guards against requests that wait for a store that is known to be away, one after the
-// other, where they can be refused at once.
-func TestAStaleHostRefusesAtOnce(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T) {
+// Guards against requests that each wait for a store that is known to be unavailable instead of
+// being refused at once.
+func TestStaleHostRefusesAtOnce(t *testing.T) {
+	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
-		p := newPlane(ctx, s)
-		p.put("a")
+		h := newTestHost(ctx, s)
+		h.put("a")
 		synctest.Wait()
-		s.SetFault(self, sharedstore.Silent)
+		s.SetFault(hostName, sharedstore.Silent)
 		time.Sleep(keyLease)
-		const asked = 100
-		began := time.Now()
-		for range asked {
+		const requests = 100
+		started := time.Now()
+		for range requests {
 			var stale *StaleError
-			if err := p.ask(ctx, "a"); !errors.As(err, &stale) || stale.RetryAfter() <= 0 {
+			if err := h.identify(ctx, "a"); !errors.As(err, &stale) || stale.RetryAfter() <= 0 {
 				t.Fatalf("got %v", err)
 			}
 		}
-		if took := time.Since(began); took > 2*lookTimeout {
-			t.Errorf("%d refusals took %s", asked, took)
+		if took := time.Since(started); took > 2*refreshTimeout {
+			t.Errorf("%d refusals took %s", requests, took)
 		}
-		if _, err := p.gate.Identify(ctx, nil, true); err != nil {
+		if _, err := h.auth.Identify(ctx, nil, true); err != nil {
 			t.Errorf("public route: %v", err)
 		}
 	})
 }
 
-// Guards against a host whose clock stands still while it is suspended.
-func TestASuspendedHostHasNoLeaseLeft(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T) {
+// Guards against a lease that outlasts its time because the host's clock stops during
+// suspension.
+func TestLeaseExpiresDuringSuspension(t *testing.T) {
+	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
-		p := newPlane(ctx, s)
-		p.put("a")
+		h := newTestHost(ctx, s)
+		h.put("a")
 		synctest.Wait()
-		s.SetFault(self, sharedstore.Silent)
-		p.ahead.Add(int64(keyLease))
+		s.SetFault(hostName, sharedstore.Silent)
+		h.suspended.Add(int64(keyLease))
 		var stale *StaleError
-		if err := p.ask(ctx, "a"); !errors.As(err, &stale) {
+		if err := h.identify(ctx, "a"); !errors.As(err, &stale) {
 			t.Errorf("got %v", err)
 		}
 	})
 }
 
-// step is one step of a drawn history of a host.
+// step is one step of a generated history of a host.
 type step struct {
 	Kind, Ms int
 	Keys     string
@@ -242,17 +247,18 @@
 	}
 }
 
-// Guards against a revoked key that is served after the bound, whatever is cut, silent,
-// refused, forgotten or suspended, and against a sound host that refuses a good key.
+// Guards against a revoked key that is accepted after the bound, under any mix of an
+// unresponsive or refusing store, a trimmed log and a suspended host, and against a healthy
+// host that refuses a valid key.
 func TestNoKeyOutlivesItsRevocation(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(drawStep), 1, 40).Draw(rt, "steps")
 		var failure string
 		synctest.Test(t, func(*testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
-			failure = play(ctx, steps)
+			failure = runSteps(ctx, steps)
 			cancel()
-			time.Sleep(time.Minute) // calls that were given up end
+			time.Sleep(time.Minute) // lets abandoned calls return
 		})
 		if failure != "" {
 			rt.Fatal(failure)
@@ -260,64 +266,64 @@
 	})
 }
 
-// Guards against keys that are served again once the store has forgotten the history in
-// which all of them were taken away.
-func TestForgottenHistoryBringsNoKeyBack(t *testing.T) {
+// Guards against revoked keys that are accepted again once the store has trimmed the records
+// that revoked all of them.
+func TestTrimmedLogRestoresNoRevokedKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		failure := play(ctx, []step{{Kind: 0, Ms: 1}, {Kind: 0, Ms: 1}, {Kind: 5, Ms: 791}, {Kind: 9, Ms: 2808}, {Kind: 4, Ms: 2221}, {Kind: 7, Ms: 3000}})
+		failure := runSteps(ctx, []step{{Kind: 0, Ms: 1}, {Kind: 0, Ms: 1}, {Kind: 5, Ms: 791}, {Kind: 9, Ms: 2808}, {Kind: 4, Ms: 2221}, {Kind: 7, Ms: 3000}})
 		cancel()
-		time.Sleep(time.Minute) // calls that were given up end
+		time.Sleep(time.Minute) // lets abandoned calls return
 		if failure != "" {
 			t.Error(failure)
 		}
 	})
 }
 
-// play plays a history and returns what was wrong with it.
-func play(ctx context.Context, steps []step) string {
+// runSteps runs a history and returns a description of the first failure, or "".
+func runSteps(ctx context.Context, steps []step) string {
 	s := sharedstore.New(1)
-	p := newPlane(ctx, s)
-	p.put("ab")
+	h := newTestHost(ctx, s)
+	h.put("ab")
 	time.Sleep(time.Second)
-	keys, changed := "ab", map[string]time.Duration{"a": p.clock(), "b": p.clock()}
-	soundSince := p.clock()
+	keys, changedAt := "ab", map[string]time.Duration{"a": h.clock(), "b": h.clock()}
+	healthySince := h.clock()
 	for n, st := range steps {
 		switch st.Kind {
 		case 0, 1:
-			p.put(st.Keys)
+			h.put(st.Keys)
 			for _, k := range []string{"a", "b"} {
 				if contains(keys, k) != contains(st.Keys, k) {
-					changed[k] = p.clock()
+					changedAt[k] = h.clock()
 				}
 			}
 			keys = st.Keys
 		case 2:
-			s.SetFault(self, sharedstore.Silent)
-			soundSince = -1
+			s.SetFault(hostName, sharedstore.Silent)
+			healthySince = -1
 		case 3:
-			s.SetFault(self, sharedstore.Refuse)
-			soundSince = -1
+			s.SetFault(hostName, sharedstore.Refuse)
+			healthySince = -1
 		case 4:
-			s.SetFault(self, sharedstore.None)
-			soundSince = p.clock()
+			s.SetFault(hostName, sharedstore.None)
+			healthySince = h.clock()
 		case 5:
-			s.Forget(part)
+			s.Forget(configPartition)
 		case 6:
-			p.ahead.Add(int64(st.Ms) * int64(time.Millisecond))
+			h.suspended.Add(int64(st.Ms) * int64(time.Millisecond))
 		default:
 			time.Sleep(time.Duration(st.Ms) * time.Millisecond)
 		}
 		for _, k := range []string{"a", "b"} {
-			sent := p.clock()
-			err := p.ask(ctx, k)
-			good := contains(keys, k)
-			if err == nil && !good && sent-changed[k] > keyLease {
-				return fmt.Sprintf("step %d: key %s is served %s after it was taken away", n, k, sent-changed[k])
+			sent := h.clock()
+			err := h.identify(ctx, k)
+			valid := contains(keys, k)
+			if err == nil && !valid && sent-changedAt[k] > keyLease {
+				return fmt.Sprintf("step %d: revoked key %s is accepted %s after its revocation", n, k, sent-changedAt[k])
 			}
-			const settled = 2 * time.Second
-			if err != nil && good && soundSince >= 0 && sent-soundSince > settled && sent-changed[k] > settled {
-				return fmt.Sprintf("step %d: key %s is refused by a sound host: %v", n, k, err)
+			const settleTime = 2 * time.Second
+			if err != nil && valid && healthySince >= 0 && sent-healthySince > settleTime && sent-changedAt[k] > settleTime {
+				return fmt.Sprintf("step %d: valid key %s is refused by a healthy host: %v", n, k, err)
 			}
 		}
 	}
@@ -333,24 +339,25 @@
 	return false
 }
 
-// The check of a known key: its time and allocations are added to each request.
+// BenchmarkKnownKey measures the check of a known key, whose time and allocations are added to
+// each request.
 func BenchmarkKnownKey(b *testing.B) {
-	p := &plane{store: sharedstore.New(1), began: time.Now()}
+	h := &testHost{store: sharedstore.New(1), start: time.Now()}
 	const keys = 10_000
 	var all []catalog.Workspace
 	for n := range keys {
 		all = append(all, catalog.Workspace{Name: fmt.Sprint("w", n), Keys: []catalog.KeyDigest{catalog.DigestKey(fmt.Sprint("key-", n))}})
 	}
-	p.current.Offer(catalog.New(1, catalog.Limits{}, nil, nil).WithWorkspaces(all))
-	p.follow = store.NewFollower(p.store.For("h"), part, p, store.FollowSettings{Clock: p.clock})
-	if err := p.follow.Confirm(b.Context(), 0); err != nil {
+	h.current.Offer(catalog.New(1, catalog.Limits{}, nil, nil).WithWorkspaces(all))
+	h.follower = store.NewFollower(h.store.For("h"), configPartition, h, store.FollowSettings{Clock: h.clock})
+	if err := h.follower.Confirm(b.Context(), 0); err != nil {
 		b.Fatal(err)
 	}
-	p.gate = NewGate(Config{Catalog: p.current.Get, Source: p.follow, KeyLease: time.Hour, Clock: p.clock})
+	h.auth = NewGate(Config{Catalog: h.current.Get, Source: h.follower, KeyLease: time.Hour, Clock: h.clock})
 	credentials := []string{"Bearer key-77"}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := p.gate.Identify(b.Context(), credentials, false); err != nil {
+		if _, err := h.auth.Identify(b.Context(), credentials, false); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/access/bearer.go
+++ b/access/bearer.go
@@ -2,17 +2,17 @@
 
 import "strings"
 
-// scheme is the authentication scheme of keys. Its case does not count.
-const scheme = "bearer"
+// bearerScheme is the authentication scheme of keys. It is case-insensitive.
+const bearerScheme = "bearer"
 
-// parseBearer returns the key in the values of a request's credentials header. It reports
-// false unless there is exactly one value with one key of the scheme.
+// parseBearer returns the key in the values of a request's Authorization header. It reports
+// false unless there is exactly one value, with the bearer scheme and exactly one key.
 func parseBearer(values []string) (key string, ok bool) {
 	if len(values) != 1 {
 		return "", false
 	}
 	name, key, found := strings.Cut(values[0], " ")
-	if !found || !strings.EqualFold(name, scheme) {
+	if !found || !strings.EqualFold(name, bearerScheme) {
 		return "", false
 	}
 	key = strings.Trim(key, " ")
--- a/access/fuzz_test.go
+++ b/access/fuzz_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against a header that is taken for a key although it holds none, or several.
+// Guards against a key that is parsed from a header with no key or with several.
 func FuzzCredentials(f *testing.F) {
 	for _, s := range []string{"Bearer k", "bearer  k ", "Bearer", "Basic k", "Bearer a b", "Bearer\tk", "Bearer \x00\xff", strings.Repeat("B", 9000)} {
 		f.Add(s)
--- a/access/unknownkeys.go
+++ b/access/unknownkeys.go
@@ -7,56 +7,57 @@
 	"pumiceford/catalog"
 )
 
-// Bounds of the memory of wrong keys.
+// Bounds of the cache of unknown keys.
 const (
-	// wrongFor is how long a key that was not found at a look is not looked for again. It
+	// unknownKeyTTL is how long an unknown key is refused without another read of the store. It
 	// is well below the time within which a new key has to work.
-	wrongFor = time.Second
-	// wrongMost bounds the keys in memory.
-	wrongMost = 4096
+	unknownKeyTTL = time.Second
+	// maxUnknownKeys bounds the number of cached keys.
+	maxUnknownKeys = 4096
 )
 
-// wrongKeys remembers keys that no workspace had, so that a caller who repeats one costs
-// no call to the store each time.
-type wrongKeys struct {
-	mu    sync.Mutex
-	since map[catalog.KeyDigest]time.Duration
+// unknownKeys caches keys that no workspace had, so that a caller who repeats one does not
+// cause a call to the store each time.
+type unknownKeys struct {
+	mu     sync.Mutex
+	seenAt map[catalog.KeyDigest]time.Duration
 }
 
-func newWrongKeys() *wrongKeys {
-	return &wrongKeys{since: make(map[catalog.KeyDigest]time.Duration)}
+func newUnknownKeys() *unknownKeys {
+	return &unknownKeys{seenAt: make(map[catalog.KeyDigest]time.Duration)}
 }
 
-// has reports whether a key was found wrong lately.
-func (w *wrongKeys) has(key catalog.KeyDigest, now time.Duration) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	at, ok := w.since[key]
-	return ok && now-at < wrongFor
+// contains reports whether the key was found to be unknown within unknownKeyTTL.
+func (u *unknownKeys) contains(key catalog.KeyDigest, now time.Duration) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	at, ok := u.seenAt[key]
+	return ok && now-at < unknownKeyTTL
 }
 
-// add notes a key that is wrong now. One that is known to be wrong is not renewed.
-func (w *wrongKeys) add(key catalog.KeyDigest, now time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if at, ok := w.since[key]; ok && now-at < wrongFor {
+// add adds an unknown key. A cached key keeps its expiry, so that it is looked up again in
+// time.
+func (u *unknownKeys) add(key catalog.KeyDigest, now time.Duration) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if at, ok := u.seenAt[key]; ok && now-at < unknownKeyTTL {
 		return
 	}
-	if len(w.since) >= wrongMost {
-		w.forget(now)
+	if len(u.seenAt) >= maxUnknownKeys {
+		u.evict(now)
 	}
-	w.since[key] = now
+	u.seenAt[key] = now
 }
 
-// forget drops what is not needed any more, and everything when that is nothing: a flood
-// of different keys then costs looks within their own bound. w.mu is held.
-func (w *wrongKeys) forget(now time.Duration) {
-	for k, at := range w.since {
-		if now-at >= wrongFor {
-			delete(w.since, k)
+// evict removes expired keys, and all keys if none has expired. A flood of different keys then
+// causes reads of the store, which minRefreshInterval limits. The caller holds mu.
+func (u *unknownKeys) evict(now time.Duration) {
+	for k, at := range u.seenAt {
+		if now-at >= unknownKeyTTL {
+			delete(u.seenAt, k)
 		}
 	}
-	if len(w.since) >= wrongMost {
-		clear(w.since)
+	if len(u.seenAt) >= maxUnknownKeys {
+		clear(u.seenAt)
 	}
 }
