--- a/ratelimit/bucket.go
+++ b/ratelimit/bucket.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// bucket is a token bucket. Its level is never above its depth, so in any span it gives
-// at most rate x span + depth.
+// bucket is a token bucket. Its level never exceeds its depth, so over any time span it
+// grants at most rate x span + depth. It is not safe for concurrent use.
 type bucket struct {
-	rate, depth float64
-	level       float64
-	at          time.Duration // of the level
-	version     int64         // of the limit
-	since       time.Duration // begin of the tenure that it belongs to
-	denied      float64       // grants that were asked for in vain, halved each second
+	rate, depth  float64       // grants per second, grants
+	level        float64       // grants available at updatedAt
+	updatedAt    time.Duration // time of the last refill
+	version      int64         // version of the limit
+	actingSince  time.Duration // start of the ownership term that the bucket belongs to
+	recentDenied float64       // denied grant requests, with a half-life of one second
 }
 
-// newBucket returns the bucket of a share that a process has acted for since a moment: it
-// has filled up since then from one grant, which callers have at once.
+// newBucket returns the bucket of a share for which the process has been acting since the
+// given time. The bucket holds one grant at that time, so that callers can be served at
+// once, and has refilled at its rate since then.
 func newBucket(s Share, version int64, since, now time.Duration) *bucket {
-	b := &bucket{rate: s.Rate, depth: s.Depth, version: version, since: since, at: since, level: 1}
+	b := &bucket{rate: s.Rate, depth: s.Depth, version: version, actingSince: since, updatedAt: since, level: 1}
 	b.fill(now)
 	return b
 }
 
+// fill adds the grants that accrued since the last refill.
 func (b *bucket) fill(now time.Duration) {
-	if now <= b.at {
+	if now <= b.updatedAt {
 		return
 	}
-	span := (now - b.at).Seconds()
+	span := (now - b.updatedAt).Seconds()
 	b.level = min(b.depth, b.level+b.rate*span)
-	b.denied *= math.Exp2(-span)
-	b.at = now
+	b.recentDenied *= math.Exp2(-span)
+	b.updatedAt = now
 }
 
-// limit takes a newer version of the limit.
-func (b *bucket) limit(s Share, version int64, now time.Duration) {
+// setLimit applies a newer version of the limit and ignores an older or equal one.
+func (b *bucket) setLimit(s Share, version int64, now time.Duration) {
 	if version <= b.version {
 		return
 	}
@@ -44,32 +46,32 @@
 	b.level = min(b.level, b.depth)
 }
 
-// credit takes grants back that were not spent.
+// credit returns n unspent grants to the bucket, up to its depth.
 func (b *bucket) credit(n int) {
 	b.level = min(b.depth, b.level+float64(n))
 }
 
-// Bounds of the time after which it is worth asking again.
+// Bounds of the retry-after time of a denied request.
 const (
-	againLeast = 20 * time.Millisecond
-	againMost  = 1500 * time.Millisecond
+	minRetryAfter = 20 * time.Millisecond
+	maxRetryAfter = 1500 * time.Millisecond
 )
 
-// take gives up to want grants. With none it returns when it is worth asking again: the
-// more have asked in vain, the later, so that a workspace far over its limit costs few
-// messages.
-func (b *bucket) take(now time.Duration, want int) (granted int, again time.Duration) {
+// take removes up to want grants from the bucket. If it grants none although some were
+// wanted, it returns a retry-after time that grows with the number of recent denials, so
+// that a workspace far over its limit causes few messages.
+func (b *bucket) take(now time.Duration, want int) (granted int, retryAfter time.Duration) {
 	b.fill(now)
 	granted = min(want, int(b.level))
 	b.level -= float64(granted)
 	if granted > 0 || want == 0 {
 		return granted, 0
 	}
-	b.denied++
+	b.recentDenied++
 	if b.rate <= 0 {
-		return 0, againMost
+		return 0, maxRetryAfter
 	}
-	missing := 1 - b.level + b.denied
-	again = time.Duration(missing / b.rate * float64(time.Second))
-	return 0, min(max(again, againLeast), againMost)
+	missing := 1 - b.level + b.recentDenied
+	retryAfter = time.Duration(missing / b.rate * float64(time.Second))
+	return 0, min(max(retryAfter, minRetryAfter), maxRetryAfter)
 }
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -7,78 +7,78 @@
 	"time"
 )
 
-// Ask asks the process that acts for a share's shard for grants.
+// Ask is a request for grants to the process that acts for the shard of a share.
 type Ask struct {
 	Limit  Limit
-	Share  int // index
-	Want   int
-	Unused int // grants had before that were not spent in time
+	Share  int // index among the shares of the workspace
+	Want   int // number of grants requested
+	Unused int // earlier grants that expired unspent and are returned
 }
 
-// Outcome says what became of an Ask.
+// Outcome is the result of a grant request.
 type Outcome int
 
-// The outcomes.
+// Results of a grant request.
 const (
-	// Granted: there is at least one grant.
+	// Granted means that the reply carries at least one grant, unless none was requested.
 	Granted Outcome = iota
-	// Denied: the share is used up for now.
+	// Denied means that the share has no grants left at present.
 	Denied
-	// NotActing: the process that was asked does not act for the shard.
+	// NotActing means that the process does not act for the shard.
 	NotActing
-	// Unanswered: nobody answered in time.
+	// Unanswered means that no reply arrived in time.
 	Unanswered
 )
 
-// Reply answers an Ask.
+// Reply is the reply to a grant request.
 type Reply struct {
 	Outcome Outcome
 	Granted int
-	Again   time.Duration // when it is worth asking again, if Denied
+	Again   time.Duration // minimum wait before the next request, if Denied
 }
 
-// GranterConfig says what a Granter works with.
+// GranterConfig configures a Granter.
 type GranterConfig struct {
 	Tolerance Tolerance
 	Shards    int
-	// Active returns since when this process has been acting for a shard, and false while
-	// it is not.
+	// Active returns the time since which this process has been acting for a shard, and
+	// false while it is not acting.
 	Active func(shard int) (since time.Duration, ok bool)
-	Clock  func() time.Duration // steady, suspensions included
+	Clock  func() time.Duration // monotonic; includes the time in which the host is suspended
 }
 
-// Granter grants requests of the shares whose shards this process acts for. It is safe
+// Granter hands out grants from the shares whose shards this process acts for. It is safe
 // for concurrent use.
 type Granter struct {
 	cfg GranterConfig
 
-	mu      sync.Mutex
-	buckets map[bucketKey]*bucket
-	swept   time.Duration
+	mu        sync.Mutex
+	buckets   map[shareKey]*bucket
+	lastSweep time.Duration
 }
 
-type bucketKey struct {
+type shareKey struct {
 	workspace string
 	share     int
 }
 
-// NewGranter returns a Granter.
+// NewGranter returns a Granter without buckets; it creates them on first use.
 func NewGranter(cfg GranterConfig) *Granter {
-	return &Granter{cfg: cfg, buckets: make(map[bucketKey]*bucket)}
+	return &Granter{cfg: cfg, buckets: make(map[shareKey]*bucket)}
 }
 
-// Grant answers an Ask. What it grants counts from the moment at which it was asked for:
-// the asker ignores an answer that comes late, so one that a frozen process sends does
-// not count.
-func (g *Granter) Grant(a Ask) Reply {
-	if a.Limit.Rate <= 0 || a.Want < 0 || a.Unused < 0 {
+// Grant answers a grant request. The lifetime of the grants starts when the requester sent
+// the request. The requester ignores late replies, so grants from a process that was
+// frozen meanwhile are never spent.
+func (g *Granter) Grant(req Ask) Reply {
+	if req.Limit.Rate <= 0 || req.Want < 0 || req.Unused < 0 {
 		return Reply{Outcome: NotActing}
 	}
-	plan := NewPlan(a.Limit, g.cfg.Tolerance, g.cfg.Shards)
-	if a.Share < 0 || a.Share >= len(plan.Shares) {
+	plan := NewPlan(req.Limit, g.cfg.Tolerance, g.cfg.Shards)
+	if req.Share < 0 || req.Share >= len(plan.Shares) {
 		return Reply{Outcome: NotActing}
 	}
-	share := plan.Shares[a.Share]
+	share := plan.Shares[req.Share]
 	since, ok := g.cfg.Active(share.Shard)
 	if !ok {
 		return Reply{Outcome: NotActing}
@@ -87,53 +87,54 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sweep(now)
-	b := g.bucket(bucketKey{a.Limit.Workspace, a.Share}, share, a.Limit.Version, since, now)
-	b.credit(a.Unused)
-	granted, again := b.take(now, a.Want)
-	if again > 0 {
-		return Reply{Outcome: Denied, Again: again}
+	b := g.bucket(shareKey{req.Limit.Workspace, req.Share}, share, req.Limit.Version, since, now)
+	b.credit(req.Unused)
+	granted, retryAfter := b.take(now, req.Want)
+	if retryAfter > 0 {
+		return Reply{Outcome: Denied, Again: retryAfter}
 	}
 	return Reply{Outcome: Granted, Granted: granted}
 }
 
-// bucket returns the bucket of a share. g.mu is held.
-func (g *Granter) bucket(k bucketKey, s Share, version int64, since, now time.Duration) *bucket {
+// bucket returns the bucket of a share and creates it if it is missing or from an earlier
+// ownership term. The caller holds g.mu.
+func (g *Granter) bucket(k shareKey, s Share, version int64, since, now time.Duration) *bucket {
 	b := g.buckets[k]
-	if b == nil || b.since != since {
+	if b == nil || b.actingSince != since {
 		b = newBucket(s, version, since, now)
 		g.buckets[k] = b
 	}
-	b.limit(s, version, now)
+	b.setLimit(s, version, now)
 	return b
 }
 
-// idleBucket is how long a bucket is kept after its last use: by then it is full, and a
-// new one would be as well.
-const idleBucket = time.Minute
+// bucketIdleTimeout is how long an unused bucket is kept. By then it is full, as its
+// replacement would be.
+const bucketIdleTimeout = time.Minute
 
-// sweep drops buckets that are not used any more. g.mu is held.
+// sweep removes idle buckets. The caller holds g.mu.
 func (g *Granter) sweep(now time.Duration) {
-	if now-g.swept < idleBucket {
+	if now-g.lastSweep < bucketIdleTimeout {
 		return
 	}
-	g.swept = now
+	g.lastSweep = now
 	for k, b := range g.buckets {
-		if now-b.at > idleBucket {
+		if now-b.updatedAt > bucketIdleTimeout {
 			delete(g.buckets, k)
 		}
 	}
 }
 
-// Use is what a process knows of a share that it grants.
+// Use is the state of a share that this process grants.
 type Use struct {
 	Workspace string  `json:"workspace"`
 	Share     int     `json:"share"`
-	Rate      float64 `json:"rate"`   // grants a second
-	Left      float64 `json:"left"`   // that can be had now
-	Denied    float64 `json:"denied"` // questions in vain lately, halved each second
+	Rate      float64 `json:"rate"`   // grants per second
+	Left      float64 `json:"left"`   // grants available now
+	Denied    float64 `json:"denied"` // denied grant requests, with a half-life of one second
 }
 
-// Uses returns the shares that this process grants now.
+// Uses returns the state of all shares that this process grants, the most denied first.
 func (g *Granter) Uses() []Use {
 	now := g.cfg.Clock()
 	g.mu.Lock()
@@ -141,7 +142,7 @@
 	out := []Use{}
 	for k, b := range g.buckets {
 		b.fill(now)
-		out = append(out, Use{Workspace: k.workspace, Share: k.share, Rate: b.rate, Left: b.level, Denied: b.denied})
+		out = append(out, Use{Workspace: k.workspace, Share: k.share, Rate: b.rate, Left: b.level, Denied: b.recentDenied})
 	}
 	slices.SortFunc(out, func(a, b Use) int {
 		return cmp.Or(cmp.Compare(b.Denied, a.Denied), cmp.Compare(a.Workspace, b.Workspace), cmp.Compare(a.Share, b.Share))
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -13,35 +13,35 @@
 	"pumiceford/internal/wait"
 )
 
-// Bounds of a Limiter.
+// Time-outs and bounds of a Limiter.
 const (
-	// askTimeout bounds one question. An answer that comes later is ignored.
-	askTimeout = 80 * time.Millisecond
-	// nextAfter is how long a request waits for one share before the next one is asked for as
-	// well. The answer to the first is kept for later requests.
-	nextAfter = 25 * time.Millisecond
-	// admitWithin bounds how long a request is held until it is admitted.
-	admitWithin = 190 * time.Millisecond
-	// silentFor is how long a process that gave no answer is not asked again.
-	silentFor = 250 * time.Millisecond
-	// doubtFor is how long it is asked after the others.
-	doubtFor = 3 * time.Second
-	// unknownComeBack is when to come back while nobody grants.
-	unknownComeBack = 300 * time.Millisecond
-	// ownersEvery is how often a process that has just been started looks for granters.
-	ownersEvery = 10 * time.Millisecond
-	// demandSpan is the time over which demand is averaged.
-	demandSpan = 2 * time.Second
-	// aheadMost bounds the grants that are asked for ahead.
-	aheadMost = 64
-	// idleLine is how long nothing is kept of a workspace that sends no requests.
-	idleLine = 30 * time.Second
+	// grantTimeout is the time-out of a grant request. Later replies are ignored.
+	grantTimeout = 80 * time.Millisecond
+	// hedgeDelay is how long a request waits for one share before it tries the next one as
+	// well. The reply for the first share is kept for later requests.
+	hedgeDelay = 25 * time.Millisecond
+	// admitTimeout is the maximum time for which a request is held for admission.
+	admitTimeout = 190 * time.Millisecond
+	// unansweredBackOff is how long a process that did not reply receives no grant requests.
+	unansweredBackOff = 250 * time.Millisecond
+	// suspectPeriod is how long a process that did not reply is tried after the others.
+	suspectPeriod = 3 * time.Second
+	// noGrantRetryAfter is the retry-after time while no granter can be reached.
+	noGrantRetryAfter = 300 * time.Millisecond
+	// ownerPollInterval is how often a process that has just started looks for granters.
+	ownerPollInterval = 10 * time.Millisecond
+	// demandWindow is the time over which demand is averaged.
+	demandWindow = 2 * time.Second
+	// maxPrefetch is the maximum number of grants requested in advance.
+	maxPrefetch = 64
+	// shareIdleTimeout is how long the state of a share is kept after its last request.
+	shareIdleTimeout = 30 * time.Second
 )
 
-// OverError says that a workspace has had its share.
+// OverError reports that a workspace has used up its rate limit.
 type OverError struct {
 	Workspace string
-	ComeBack  time.Duration // when there is room again
+	ComeBack  time.Duration // minimum wait before the next try
 }
 
 // Error implements error.
@@ -49,157 +49,157 @@
 	return "workspace " + e.Workspace + " is over its rate limit"
 }
 
-// UngrantedError says that not all who grant a workspace's requests answered, and that
-// those who did had none left.
+// UngrantedError reports that some granters of a workspace did not reply or are not known,
+// and that the others had no grants left.
 type UngrantedError struct {
 	Workspace string
-	Denied    int // shares that are used up
-	Silent    int // shares whose process gave no answer
-	NotActing int // shares that no process acts for, as far as is known
+	Denied    int // shares without grants left
+	Silent    int // shares whose granter did not reply
+	NotActing int // shares for which no process is known to act
 }
 
 // Error implements error.
 func (e *UngrantedError) Error() string {
-	return fmt.Sprintf("workspace %s: shares used up %d, silent %d, without granter %d", e.Workspace, e.Denied, e.Silent, e.NotActing)
+	return fmt.Sprintf("workspace %s got no grant: %d shares used up, %d without reply, %d without granter", e.Workspace, e.Denied, e.Silent, e.NotActing)
 }
 
-// ComeBack returns when it is worth another try.
-func (e *UngrantedError) ComeBack() time.Duration { return unknownComeBack }
+// ComeBack returns the minimum wait before the next try.
+func (e *UngrantedError) ComeBack() time.Duration { return noGrantRetryAfter }
 
-// Asker puts a question to another process.
+// Asker sends grant requests to other processes.
 type Asker interface {
-	// Ask returns Unanswered when there is no answer.
-	Ask(ctx context.Context, addr string, a Ask) Reply
+	// The outcome is Unanswered if the process at addr does not reply before ctx ends.
+	Ask(ctx context.Context, addr string, req Ask) Reply
 }
 
-// LimiterConfig says what a Limiter works with.
+// LimiterConfig configures a Limiter.
 type LimiterConfig struct {
-	Self      string // address of this process among those that grant
+	Self      string // address of this process as a granter
 	Tolerance Tolerance
 	Shards    int
-	Owner     func(shard int) string // address of the process that acts for a shard, "" for none
-	Granter   *Granter               // of this process
+	Owner     func(shard int) string // address of the process that acts for a shard, "" if none is known
+	Granter   *Granter               // granter of this process
 	Asker     Asker
-	Clock     func() time.Duration
+	Clock     func() time.Duration // monotonic; includes the time in which the host is suspended
 }
 
-// Limiter admits the requests that come to this process within the limits of their
+// Limiter admits the requests that arrive at this process within the limits of their
 // workspaces. It is safe for concurrent use.
 type Limiter struct {
-	cfg   LimiterConfig
-	known atomic.Bool // some process is known to act for a shard
+	cfg        LimiterConfig
+	ownerKnown atomic.Bool // at least one shard has a known owner
 
-	mu     sync.Mutex
-	lines  map[bucketKey]*line
-	silent map[string]time.Duration // when processes last gave no answer
-	swept  time.Duration
+	mu           sync.Mutex
+	shares       map[shareKey]*localShare
+	unansweredAt map[string]time.Duration // time of the last unanswered request, by address
+	lastSweep    time.Duration
 }
 
-// line is what this process holds of one share.
-type line struct {
-	shard   int
-	stock   int
-	expires time.Duration // of the stock
-	unused  int           // grants that expired unspent and were not given back yet
-	again   time.Duration // the share is used up until then
-	asking  bool
-	waiting []*waiter
-	demand  float64 // requests a second, averaged
-	at      time.Duration
+// localShare is the state that this process keeps of one share.
+type localShare struct {
+	shard       int
+	grants      int           // unspent grants
+	expiresAt   time.Duration // when the unspent grants expire
+	unused      int           // expired grants that are still to be returned to the granter
+	deniedUntil time.Duration // the share has no grants left until then
+	requesting  bool          // requestGrants runs for this share
+	waiters     []*waiter
+	demand      float64 // requests per second, averaged over demandWindow
+	lastRequest time.Duration
 }
 
-// waiter is a request that waits for the answer to a question.
+// waiter is a request that waits for the reply to a grant request.
 type waiter struct {
-	answer chan Reply // of one
-	left   bool       // it went on without; guarded by Limiter.mu
+	reply     chan Reply // receives at most one reply
+	abandoned bool       // the request no longer waits; guarded by Limiter.mu
 }
 
-// NewLimiter returns a Limiter.
+// NewLimiter returns a Limiter that holds no grants.
 func NewLimiter(cfg LimiterConfig) *Limiter {
-	return &Limiter{cfg: cfg, lines: make(map[bucketKey]*line), silent: make(map[string]time.Duration)}
+	return &Limiter{cfg: cfg, shares: make(map[shareKey]*localShare), unansweredAt: make(map[string]time.Duration)}
 }
 
-// Admit admits one request. Its errors are *OverError and *UngrantedError; both mean that
-// it must not run.
+// Admit admits one request and waits up to admitTimeout for a grant. Its errors are
+// *OverError and *UngrantedError; in both cases the request must not run.
 func (l *Limiter) Admit(ctx context.Context, limit Limit) error {
 	plan := NewPlan(limit, l.cfg.Tolerance, l.cfg.Shards)
-	ctx, cancel := context.WithTimeout(ctx, admitWithin)
+	ctx, cancel := context.WithTimeout(ctx, admitTimeout)
 	defer cancel()
-	l.awaitOwners(ctx)
-	missing := &UngrantedError{Workspace: limit.Workspace}
-	again := againMost
-	for _, s := range l.order(plan) {
-		if s.Reserve && missing.Silent+missing.NotActing == 0 {
-			return &OverError{Workspace: limit.Workspace, ComeBack: again}
+	l.awaitAnyOwner(ctx)
+	noGrant := &UngrantedError{Workspace: limit.Workspace}
+	retryAfter := maxRetryAfter
+	for _, s := range l.requestOrder(plan) {
+		if s.Reserve && noGrant.Silent+noGrant.NotActing == 0 {
+			return &OverError{Workspace: limit.Workspace, ComeBack: retryAfter}
 		}
-		r := l.take(ctx, limit, s, plan.Keep)
+		r := l.take(ctx, limit, s, plan.GrantTTL)
 		switch r.Outcome {
 		case Granted:
 			return nil
 		case Denied:
-			again = min(again, r.Again)
-			missing.Denied++
+			retryAfter = min(retryAfter, r.Again)
+			noGrant.Denied++
 		case NotActing:
-			missing.NotActing++
+			noGrant.NotActing++
 		case Unanswered:
-			missing.Silent++
+			noGrant.Silent++
 		}
 	}
-	return missing
+	return noGrant
 }
 
-// order returns the shares in the order in which they are asked for: those of processes
-// that gave no answer lately after the others. A request that met two of them first was
-// held until its time to be admitted was over.
-func (l *Limiter) order(p Plan) []Share {
-	all := p.From(l.cfg.Self)
-	primary := all[:len(all)-1]
+// requestOrder returns the shares in the order in which they are tried. Shares of processes
+// that recently failed to reply come after the others: a request that tries two of them
+// first would use up admitTimeout.
+func (l *Limiter) requestOrder(p Plan) []Share {
+	ordered := p.Order(l.cfg.Self)
+	primary := ordered[:len(ordered)-1]
 	now := l.cfg.Clock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.silent) > 0 {
+	if len(l.unansweredAt) > 0 {
 		slices.SortStableFunc(primary, func(a, b Share) int {
-			return cmp.Compare(l.doubt(a, now), l.doubt(b, now))
+			return cmp.Compare(l.suspectRank(a, now), l.suspectRank(b, now))
 		})
 	}
-	return all
+	return ordered
 }
 
-// doubt returns 1 for a share whose process gave no answer lately, 0 otherwise. l.mu is
-// held.
-func (l *Limiter) doubt(s Share, now time.Duration) int {
-	if at, ok := l.silent[l.cfg.Owner(s.Shard)]; ok && now-at < doubtFor {
+// suspectRank returns 1 for a share whose process failed to reply within the last
+// suspectPeriod, and 0 otherwise. The caller holds l.mu.
+func (l *Limiter) suspectRank(s Share, now time.Duration) int {
+	if at, ok := l.unansweredAt[l.cfg.Owner(s.Shard)]; ok && now-at < suspectPeriod {
 		return 1
 	}
 	return 0
 }
 
-// awaitOwners waits until any process is known to act for a shard. Only a process that has
-// just been started knows none.
-func (l *Limiter) awaitOwners(ctx context.Context) {
-	for !l.known.Load() {
+// awaitAnyOwner waits until at least one shard has a known owner or ctx ends. Only a process
+// that has just started knows no owner.
+func (l *Limiter) awaitAnyOwner(ctx context.Context) {
+	for !l.ownerKnown.Load() {
 		for n := range l.cfg.Shards {
 			if l.cfg.Owner(n) != "" {
-				l.known.Store(true)
+				l.ownerKnown.Store(true)
 				return
 			}
 		}
-		if wait.For(ctx, ownersEvery) != nil {
+		if wait.For(ctx, ownerPollInterval) != nil {
 			return
 		}
 	}
 }
 
-// take spends a grant of a share, asking for it when there is none at hand. Requests that
-// come while a question is under way wait for the next one together.
-func (l *Limiter) take(ctx context.Context, limit Limit, s Share, keep time.Duration) Reply {
+// take spends a grant of a share and requests one if this process holds none. Requests that
+// arrive while a grant request is in flight share the next one.
+func (l *Limiter) take(ctx context.Context, limit Limit, s Share, ttl time.Duration) Reply {
 	now := l.cfg.Clock()
 	l.mu.Lock()
 	l.sweep(now)
-	ln := l.line(bucketKey{limit.Workspace, s.Index})
-	ln.shard = s.Shard
-	ln.note(now)
-	if r, ok := ln.ready(now); ok {
+	ls := l.localShare(shareKey{limit.Workspace, s.Index})
+	ls.shard = s.Shard
+	ls.recordRequest(now)
+	if r, ok := ls.tryLocal(now); ok {
 		l.mu.Unlock()
 		return r
 	}
@@ -208,26 +208,26 @@
 		l.mu.Unlock()
 		return Reply{Outcome: NotActing}
 	}
-	if at, ok := l.silent[owner]; ok && now-at < silentFor {
+	if at, ok := l.unansweredAt[owner]; ok && now-at < unansweredBackOff {
 		l.mu.Unlock()
 		return Reply{Outcome: Unanswered}
 	}
-	w := &waiter{answer: make(chan Reply, 1)}
-	ln.waiting = append(ln.waiting, w)
-	if !ln.asking {
-		ln.asking = true
-		go l.ask(ln, limit, s, keep)
+	w := &waiter{reply: make(chan Reply, 1)}
+	ls.waiters = append(ls.waiters, w)
+	if !ls.requesting {
+		ls.requesting = true
+		go l.requestGrants(ls, limit, s, ttl)
 	}
 	l.mu.Unlock()
-	return l.await(ctx, w)
+	return l.awaitReply(ctx, w)
 }
 
-// await waits for an answer for a short while.
-func (l *Limiter) await(ctx context.Context, w *waiter) Reply {
-	timer := time.NewTimer(nextAfter)
+// awaitReply waits for a reply for up to hedgeDelay.
+func (l *Limiter) awaitReply(ctx context.Context, w *waiter) Reply {
+	timer := time.NewTimer(hedgeDelay)
 	defer timer.Stop()
 	select {
-	case r := <-w.answer:
+	case r := <-w.reply:
 		return r
 	case <-timer.C:
 	case <-ctx.Done():
@@ -235,111 +235,116 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
-	case r := <-w.answer: // it came just now
+	case r := <-w.reply: // the reply arrived together with the time-out
 		return r
 	default:
-		w.left = true
+		w.abandoned = true
 		return Reply{Outcome: Unanswered}
 	}
 }
 
-// line returns what is held of a share. l.mu is held.
-func (l *Limiter) line(k bucketKey) *line {
-	ln := l.lines[k]
-	if ln == nil {
-		ln = &line{}
-		l.lines[k] = ln
+// localShare returns the state of a share and creates it if it is missing. The caller holds
+// l.mu.
+func (l *Limiter) localShare(k shareKey) *localShare {
+	ls := l.shares[k]
+	if ls == nil {
+		ls = &localShare{}
+		l.shares[k] = ls
 	}
-	return ln
+	return ls
 }
 
-// note counts a request.
-func (ln *line) note(now time.Duration) {
-	ln.demand = ln.demand*ln.fading(now) + 1/demandSpan.Seconds()
-	ln.at = now
+// recordRequest adds a request to the average demand. The caller holds Limiter.mu.
+func (ls *localShare) recordRequest(now time.Duration) {
+	ls.demand = ls.demand*ls.demandDecay(now) + 1/demandWindow.Seconds()
+	ls.lastRequest = now
 }
 
-// fading returns the part of the demand noted last that still counts.
-func (ln *line) fading(now time.Duration) float64 {
-	return max(0, 1-float64(now-ln.at)/float64(demandSpan))
+// demandDecay returns the fraction of the last recorded demand that still counts. The caller
+// holds Limiter.mu.
+func (ls *localShare) demandDecay(now time.Duration) float64 {
+	return max(0, 1-float64(now-ls.lastRequest)/float64(demandWindow))
 }
 
-// ready returns the answer that needs no question.
-func (ln *line) ready(now time.Duration) (Reply, bool) {
-	if now >= ln.expires {
-		ln.unused += ln.stock
-		ln.stock = 0
+// tryLocal returns a reply from the local state. It returns false if the granter has to be
+// asked. The caller holds Limiter.mu.
+func (ls *localShare) tryLocal(now time.Duration) (Reply, bool) {
+	if now >= ls.expiresAt {
+		ls.unused += ls.grants
+		ls.grants = 0
 	}
 	switch {
-	case ln.stock > 0:
-		ln.stock--
+	case ls.grants > 0:
+		ls.grants--
 		return Reply{Outcome: Granted, Granted: 1}, true
-	case now < ln.again:
-		return Reply{Outcome: Denied, Again: ln.again - now}, true
+	case now < ls.deniedUntil:
+		return Reply{Outcome: Denied, Again: ls.deniedUntil - now}, true
 	}
 	return Reply{}, false
 }
 
-// ask asks for a share until nobody waits for it any more. Who grants it may change
-// meanwhile.
-func (l *Limiter) ask(ln *line, limit Limit, s Share, keep time.Duration) {
+// requestGrants sends grant requests for a share until no request waits for it. It looks up
+// the owner for each grant request, because the owner may change in between.
+func (l *Limiter) requestGrants(ls *localShare, limit Limit, s Share, ttl time.Duration) {
 	for {
 		owner := l.cfg.Owner(s.Shard)
-		asked := l.cfg.Clock()
+		requestedAt := l.cfg.Clock()
 		l.mu.Lock()
-		served := ln.waiting
-		ln.waiting = nil
-		if len(served) == 0 {
-			ln.asking = false
+		waiters := ls.waiters
+		ls.waiters = nil
+		if len(waiters) == 0 {
+			ls.requesting = false
 			l.mu.Unlock()
 			return
 		}
-		ahead := min(int(ln.demand*keep.Seconds()), aheadMost)
-		a := Ask{Limit: limit, Share: s.Index, Want: len(served) + ahead, Unused: ln.unused}
-		ln.unused = 0
+		prefetch := min(int(ls.demand*ttl.Seconds()), maxPrefetch)
+		req := Ask{Limit: limit, Share: s.Index, Want: len(waiters) + prefetch, Unused: ls.unused}
+		ls.unused = 0
 		l.mu.Unlock()
-		r := l.put(owner, a, asked)
+		r := l.sendRequest(owner, req, requestedAt)
 		l.mu.Lock()
-		ln.take(r, deal(served, r), asked, keep)
+		ls.applyReply(r, replyToWaiters(waiters, r), requestedAt, ttl)
 		if r.Outcome == Unanswered {
-			l.silent[owner] = l.cfg.Clock()
+			l.unansweredAt[owner] = l.cfg.Clock()
 		}
 		l.mu.Unlock()
 	}
 }
 
-// put puts a question to a process. A grant that took too long to come does not count: it
-// may have been given long before.
-func (l *Limiter) put(owner string, a Ask, asked time.Duration) Reply {
+// sendRequest sends a grant request to the owner of a share. A reply that arrives too late
+// counts as Unanswered, because its grants may have been issued long before.
+func (l *Limiter) sendRequest(owner string, req Ask, requestedAt time.Duration) Reply {
 	if owner == l.cfg.Self {
-		return l.cfg.Granter.Grant(a)
+		return l.cfg.Granter.Grant(req)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), grantTimeout)
 	defer cancel()
-	r := l.cfg.Asker.Ask(ctx, owner, a)
-	if l.cfg.Clock()-asked > 2*askTimeout {
+	r := l.cfg.Asker.Ask(ctx, owner, req)
+	if l.cfg.Clock()-requestedAt > 2*grantTimeout {
 		return Reply{Outcome: Unanswered}
 	}
 	return r
 }
 
-// take keeps what is left of an answer once those that waited have theirs.
-func (ln *line) take(r Reply, spent int, asked, keep time.Duration) {
+// applyReply stores the rest of a reply from which the waiting requests took spent grants.
+// The caller holds Limiter.mu.
+func (ls *localShare) applyReply(r Reply, spent int, requestedAt, ttl time.Duration) {
 	switch r.Outcome {
 	case Granted:
-		ln.unused += ln.stock // of an earlier answer, which would expire sooner
-		ln.stock, ln.expires = max(r.Granted-spent, 0), asked+keep
+		ls.unused += ls.grants // from an earlier reply, which expire sooner
+		ls.grants, ls.expiresAt = max(r.Granted-spent, 0), requestedAt+ttl
 	case Denied:
-		ln.again = asked + r.Again
+		ls.deniedUntil = requestedAt + r.Again
 	case NotActing, Unanswered:
 	}
 }
 
-// deal answers those that still wait and returns how many grants they took. When there are
-// fewer grants than requests, the others have asked in vain. Limiter.mu is held.
-func deal(served []*waiter, r Reply) (spent int) {
-	for _, w := range served {
-		if w.left {
+// replyToWaiters replies to the requests that still wait and returns the number of grants
+// that they took. If there are fewer grants than requests, the rest are denied. The caller
+// holds Limiter.mu.
+func replyToWaiters(waiters []*waiter, r Reply) (spent int) {
+	for _, w := range waiters {
+		if w.abandoned {
 			continue
 		}
 		one := r
@@ -348,53 +353,56 @@
 		case spent < r.Granted:
 			spent++
 		default:
-			one = Reply{Outcome: Denied, Again: againLeast}
+			one = Reply{Outcome: Denied, Again: minRetryAfter}
 		}
-		w.answer <- one
+		w.reply <- one
 	}
 	return spent
 }
 
-// sweep forgets what is not used any more. l.mu is held.
+// sweep removes idle shares and expired records of unanswered requests. The caller holds
+// l.mu.
 func (l *Limiter) sweep(now time.Duration) {
-	if now-l.swept < idleLine {
+	if now-l.lastSweep < shareIdleTimeout {
 		return
 	}
-	l.swept = now
-	for k, ln := range l.lines {
-		if now-ln.at > idleLine && !ln.asking {
-			delete(l.lines, k)
+	l.lastSweep = now
+	for k, ls := range l.shares {
+		if now-ls.lastRequest > shareIdleTimeout && !ls.requesting {
+			delete(l.shares, k)
 		}
 	}
-	for addr, at := range l.silent {
-		if now-at >= doubtFor {
-			delete(l.silent, addr)
+	for addr, at := range l.unansweredAt {
+		if now-at >= suspectPeriod {
+			delete(l.unansweredAt, addr)
 		}
 	}
 }
 
-// Demand is what comes to this process of a workspace with a limit.
+// Demand is the request rate of a rate-limited workspace at this process.
 type Demand struct {
 	Workspace string  `json:"workspace"`
 	PerSecond float64 `json:"per_second"`
-	// Granters are the addresses of the processes with the shares that were asked for.
+	// Granters are the addresses of the processes that act for the shares in use, "" for
+	// a shard without known owner.
 	Granters []string `json:"granters"`
 }
 
-// Demands returns the workspaces whose requests come to this process.
+// Demands returns the demand of the workspaces that recently sent requests to this process,
+// sorted by workspace.
 func (l *Limiter) Demands() []Demand {
 	now := l.cfg.Clock()
 	l.mu.Lock()
-	by := make(map[string]float64)
+	perSecond := make(map[string]float64)
 	shards := make(map[string][]int)
-	for k, ln := range l.lines {
-		by[k.workspace] = max(by[k.workspace], ln.demand*ln.fading(now))
-		shards[k.workspace] = append(shards[k.workspace], ln.shard)
+	for k, ls := range l.shares {
+		perSecond[k.workspace] = max(perSecond[k.workspace], ls.demand*ls.demandDecay(now))
+		shards[k.workspace] = append(shards[k.workspace], ls.shard)
 	}
 	l.mu.Unlock()
 	out := []Demand{}
-	for _, ws := range slices.Sorted(maps.Keys(by)) {
-		d := Demand{Workspace: ws, PerSecond: by[ws]}
+	for _, ws := range slices.Sorted(maps.Keys(perSecond)) {
+		d := Demand{Workspace: ws, PerSecond: perSecond[ws]}
 		for _, shard := range slices.Sorted(slices.Values(shards[ws])) {
 			d.Granters = append(d.Granters, l.cfg.Owner(shard))
 		}
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -8,47 +8,47 @@
 	"time"
 )
 
-// moving is a share whose grants move from one process to another while a question is under
-// way.
-type moving struct {
-	mu     sync.Mutex
-	owner  string
-	inVain int // questions to a process that does not grant
+// movingOwner is a granter whose ownership moves from one process to another while grant
+// requests are in flight.
+type movingOwner struct {
+	mu          sync.Mutex
+	owner       string
+	misdirected int // grant requests to a process that is not the owner
 }
 
-// Ask implements Asker: only the owner grants, one at a time.
-func (m *moving) Ask(_ context.Context, addr string, _ Ask) Reply {
+// Only the owner grants, one grant per request.
+func (m *movingOwner) Ask(_ context.Context, addr string, _ Ask) Reply {
 	time.Sleep(10 * time.Millisecond)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if addr != m.owner {
-		m.inVain++
+		m.misdirected++
 		return Reply{Outcome: NotActing}
 	}
 	return Reply{Outcome: Granted, Granted: 1}
 }
 
-func (m *moving) at(int) string {
+func (m *movingOwner) ownerOf(int) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.owner
 }
 
-func (m *moving) move(to string) {
+func (m *movingOwner) move(to string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.owner = to
 }
 
-// Guards against a workspace with many requests that goes on asking a process which no longer
-// grants, for as long as requests come.
-func TestABusyWorkspaceFollowsItsGranter(t *testing.T) {
+// Guards against a limiter that keeps sending grant requests to the former owner of a share
+// as long as the workspace sends requests without a pause.
+func TestLimiterFollowsOwnerChangeUnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &moving{owner: "a"}
-		began := time.Now()
+		m := &movingOwner{owner: "a"}
+		start := time.Now()
 		l := NewLimiter(LimiterConfig{
 			Self: "h", Tolerance: Tolerance{Window: 5 * time.Second, Excess: 0.1, Slack: 20}, Shards: 4,
-			Owner: m.at, Asker: m, Clock: func() time.Duration { return time.Since(began) },
+			Owner: m.ownerOf, Asker: m, Clock: func() time.Duration { return time.Since(start) },
 		})
 		limit := Limit{Workspace: "w", Rate: 3, Burst: 3}
 		var all sync.WaitGroup
@@ -56,15 +56,15 @@
 			if n == 100 {
 				m.move("b")
 			}
-			all.Go(func() { _ = l.Admit(t.Context(), limit) }) // only who is asked counts
+			all.Go(func() { _ = l.Admit(t.Context(), limit) }) // the test checks the grant requests, not the result
 			time.Sleep(time.Millisecond)
 		}
 		all.Wait()
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		const most = 2 // one for each share that was being asked for as it moved
-		if m.inVain > most {
-			t.Errorf("%d questions to a process that no longer grants", m.inVain)
+		const maxMisdirected = 2 // one per share with a grant request in flight during the move
+		if m.misdirected > maxMisdirected {
+			t.Errorf("%d grant requests to the former owner", m.misdirected)
 		}
 	})
 }
--- a/ratelimit/plan.go
+++ b/ratelimit/plan.go
@@ -1,12 +1,12 @@
-// Package ratelimit keeps each workspace to its rate limit over all hosts, without a
-// counter that every request has to reach.
+// Package ratelimit enforces the rate limit of each workspace over all hosts, without a
+// central counter that every request has to reach.
 //
 // The limit of a workspace is split into shares. Each share belongs to a shard, and one
-// process acts for a shard at a time: it grants requests out of token buckets. A process
-// that serves callers asks for a few grants at once and spends them within a short time,
-// so that it usually has one at hand. Whoever gets no answer falls back on a reserve share
-// that another process grants. The sum of what all shares can grant, of the grants that
-// are under way and of the reserve stays within the tolerance of the limit.
+// process at a time acts for a shard and hands out grants from a token bucket. A process
+// that serves callers requests a few grants at a time and spends them within a short
+// time, so that it usually holds one when a request arrives. A process that gets no reply
+// falls back on a reserve share that another process grants. The sum of what all shares can
+// grant, of the grants in flight and of the reserve stays within the tolerance of the limit.
 package ratelimit
 
 import (
@@ -19,82 +19,87 @@
 // Limit is the rate limit of a workspace.
 type Limit struct {
 	Workspace string
-	Version   int64   // of the configuration that it is from
-	Rate      float64 // requests a second
-	Burst     float64 // on top of it after a rest
+	Version   int64   // version of the configuration that sets the limit
+	Rate      float64 // requests per second
+	Burst     float64 // requests allowed above the rate after an idle period
 }
 
-// Tolerance says how exactly a limit has to be kept: in any Window at most
+// Tolerance bounds how far a limit may be exceeded: in any Window at most
 // (Rate x Window + Burst) x (1 + Excess) + Slack requests run.
 type Tolerance struct {
 	Window time.Duration
-	Excess float64
+	Excess float64 // fraction of the limit
 	Slack  float64 // requests
 }
 
 // Share is a part of a workspace's limit that one process grants.
 type Share struct {
-	Index   int // among the shares of the workspace
+	Index   int // index among the shares of the workspace
 	Shard   int
-	Rate    float64 // grants a second
-	Depth   float64 // most grants at once
-	Reserve bool    // used only while others give no answer
+	Rate    float64 // grants per second
+	Depth   float64 // maximum number of grants at once
+	Reserve bool    // used only while another share has no granter or its granter does not reply
 }
 
-// Parts of the tolerance.
+// Fractions of the tolerance, and bounds of a plan.
 const (
-	// underWayPart is for grants that were given before a window and are spent in it.
-	underWayPart = 0.4
-	// depthPart is for grants that lie unspent at processes whose callers send nothing more.
-	depthPart = 0.15
-	// reservePart is for the reserve share. What is left is for the first grants of a
-	// process that begins to act for a shard, and for requests that a frozen process holds.
-	reservePart = 0.3
-	// reserveDepth is the part of the reserve that may be granted at once.
-	reserveDepth = 0.5
-	// shareRate is the least rate of a share where a limit is split into more than two, and
-	// mostShares how many there are at most. One process that is gone then takes a small part
-	// of a limit away. splitFrom is the rate from which there are two.
-	shareRate  = 8
-	mostShares = 6
-	splitFrom  = 4
-	// leastKeep and mostKeep bound how long a grant may be kept.
-	leastKeep = 100 * time.Millisecond
-	mostKeep  = time.Second
+	// inFlightFraction covers grants that are issued before a window and spent in it.
+	inFlightFraction = 0.4
+	// depthFraction covers grants that stay unspent at processes whose callers have stopped
+	// sending.
+	depthFraction = 0.15
+	// reserveFraction covers the reserve share. The rest of the tolerance covers the first
+	// grants of a process that starts to act for a shard, and requests that a frozen process
+	// holds.
+	reserveFraction = 0.3
+	// reserveBurstFraction is the fraction of the reserve that may be granted at once.
+	reserveBurstFraction = 0.5
+	// minShareRate is the minimum rate of a share, in grants per second, if a limit is split
+	// into more than two shares. maxShares is the maximum number of shares. With several
+	// shares the loss of one process takes away only a small part of a limit. minSplitRate is
+	// the rate, in requests per second, from which a limit has two or more shares.
+	minShareRate = 8
+	maxShares    = 6
+	minSplitRate = 4
+	// minGrantTTL and maxGrantTTL bound how long a grant may be kept before it is spent.
+	minGrantTTL = 100 * time.Millisecond
+	maxGrantTTL = time.Second
 )
 
-// Plan is how a limit is split.
+// Plan is the split of a limit into shares.
 type Plan struct {
-	Shares []Share // the reserve is the last one
-	// Keep is how long after it was asked for a grant may be spent.
-	Keep time.Duration
+	Shares []Share // the last one is the reserve
+	// GrantTTL is the lifetime of a grant, counted from the time of its request.
+	GrantTTL time.Duration
 }
 
-// NewPlan splits a limit over a number of shards. All processes find the same.
+// NewPlan splits a limit over the given number of shards. It is deterministic, so all
+// processes get the same plan.
 func NewPlan(l Limit, tol Tolerance, shards int) Plan {
-	spare := tol.Excess*(l.Rate*tol.Window.Seconds()+l.Burst) + tol.Slack
-	keep := time.Duration(underWayPart * spare / l.Rate * float64(time.Second))
-	p := Plan{Keep: min(max(keep, leastKeep), mostKeep)}
+	headroom := tol.Excess*(l.Rate*tol.Window.Seconds()+l.Burst) + tol.Slack
+	ttl := time.Duration(inFlightFraction * headroom / l.Rate * float64(time.Second))
+	p := Plan{GrantTTL: min(max(ttl, minGrantTTL), maxGrantTTL)}
 	n := 1
-	if l.Rate >= splitFrom {
-		n = min(max(int(l.Rate/shareRate), 2), mostShares, shards)
+	if l.Rate >= minSplitRate {
+		n = min(max(int(l.Rate/minShareRate), 2), maxShares, shards)
 	}
-	at := shardsOf(l.Workspace, n+1, shards)
+	shardOf := shardsOf(l.Workspace, n+1, shards)
 	for i := range n {
 		p.Shares = append(p.Shares, Share{
-			Index: i, Shard: at[i], Rate: l.Rate / float64(n), Depth: max((l.Burst+depthPart*spare)/float64(n), 1),
+			Index: i, Shard: shardOf[i], Rate: l.Rate / float64(n), Depth: max((l.Burst+depthFraction*headroom)/float64(n), 1),
 		})
 	}
-	reserve := reservePart * spare
+	reserve := reserveFraction * headroom
 	p.Shares = append(p.Shares, Share{
-		Index: n, Shard: at[n], Reserve: true,
-		Depth: max(reserveDepth*reserve, 1), Rate: (1 - reserveDepth) * reserve / (tol.Window + p.Keep).Seconds(),
+		Index: n, Shard: shardOf[n], Reserve: true,
+		Depth: max(reserveBurstFraction*reserve, 1), Rate: (1 - reserveBurstFraction) * reserve / (tol.Window + p.GrantTTL).Seconds(),
 	})
 	return p
 }
 
-// shardsOf returns the shards of a workspace's shares, different ones as far as there are
-// enough. They are drawn and not neighbours: a process often acts for neighbours.
+// shardsOf returns the shards of a workspace's n shares, distinct ones as long as there are
+// enough. They are selected by hash and not adjacent, because a process often acts for
+// adjacent shards.
 func shardsOf(workspace string, n, shards int) []int {
 	var out []int
 	for try := 0; len(out) < n; try++ {
@@ -106,20 +111,21 @@
 	return out
 }
 
-// From returns the order in which a process asks for the shares, which differs between
-// processes so that they spread over all. The reserve stays last.
-func (p Plan) From(self string) []Share {
+// Order returns the shares in the order in which a process requests grants from them. The
+// first share depends on the process, which spreads the load over all shares. The reserve
+// is always last.
+func (p Plan) Order(self string) []Share {
 	n := len(p.Shares) - 1
-	at := int(hash(self) % uint32(n))
+	first := int(hash(self) % uint32(n))
 	out := make([]Share, 0, len(p.Shares))
 	for i := range n {
-		out = append(out, p.Shares[(at+i)%n])
+		out = append(out, p.Shares[(first+i)%n])
 	}
 	return append(out, p.Shares[n])
 }
 
 func hash(s string) uint32 {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(s)) // a hash's Write never fails
+	_, _ = h.Write([]byte(s)) // Write of a hash.Hash never returns an error
 	return h.Sum32()
 }
