--- a/shards/manager.go
+++ b/shards/manager.go
@@ -15,188 +15,194 @@
 	"pumiceford/store"
 )
 
-// Intervals and bounds of a Keeper.
+// Intervals, time-outs and bounds of shard ownership.
 const (
-	// lookEvery is how often the shards that this process watches over are looked at.
-	lookEvery = time.Second
-	// freeEvery is how often watched shards without owner are looked for when nothing changes.
-	freeEvery = time.Second
-	// wantedEvery is how often a process that has no use for shards sees whether it has.
-	wantedEvery = 20 * time.Millisecond
-	// renewEvery is how often it is seen whether the view has to be confirmed, renewPart
-	// the part of the lease after which it is.
-	renewEvery = 250 * time.Millisecond
-	renewPart  = 3
-	// goneAfter is how long an owner may give no answer before its shards are taken over.
-	// Most processes that are killed are back sooner and go on with what they had.
-	goneAfter = 3 * time.Second
-	// aloneAfter is the same while no other process answers at all: then it may be this one
-	// that is cut off.
-	aloneAfter = 2 * goneAfter
-	// hearTries is how many other processes are asked before this one counts as cut off.
-	hearTries = 3
-	// askTimeout bounds a question whether an owner is there.
-	askTimeout = 400 * time.Millisecond
-	// writeTries bounds the tries at a record while others write to the partition.
-	writeTries  = 8
-	writePause  = 40 * time.Millisecond
-	writeWithin = 2 * time.Second
+	// watchInterval is the mean interval at which the owners of watched shards are probed.
+	watchInterval = time.Second
+	// unownedCheckInterval is how often watched shards are checked for a missing owner if no
+	// record changes.
+	unownedCheckInterval = time.Second
+	// wantedPollInterval is how often a process that needs no shards checks whether it does.
+	wantedPollInterval = 20 * time.Millisecond
+	// renewInterval is how often the age of the view is checked. The view is confirmed again
+	// once it is older than the lease divided by renewDivisor.
+	renewInterval = 250 * time.Millisecond
+	renewDivisor  = 3
+	// takeoverTimeout is how long an owner may fail to act before its shards are taken over.
+	// Most killed processes restart sooner and resume their shards.
+	takeoverTimeout = 3 * time.Second
+	// isolatedTakeoverTimeout replaces takeoverTimeout while no other process answers, because
+	// this process may then be the one that is cut off.
+	isolatedTakeoverTimeout = 2 * takeoverTimeout
+	// maxProbes is how many other processes are probed before this one counts as cut off.
+	maxProbes = 3
+	// probeTimeout is the time-out of a probe.
+	probeTimeout = 400 * time.Millisecond
+	// maxWriteAttempts is the maximum number of attempts to write records while others write to
+	// the partition.
+	maxWriteAttempts = 8
+	// maxWriteJitter bounds the random pause that keeps processes from writing together.
+	maxWriteJitter = 40 * time.Millisecond
+	// writeTimeout bounds all attempts of a write together.
+	writeTimeout = 2 * time.Second
 )
 
-// Config says what a Keeper works with.
+// Config configures how a process takes and keeps shards.
 type Config struct {
-	Self   string // address of this process
-	Shards int
-	Lease  time.Duration
+	Self   string        // address of this process
+	Shards int           // number of shards
+	Lease  time.Duration // how long a confirmed view is valid
 	Log    store.Log
 	Part   store.Partition
-	// Wanted reports whether shards are needed at all now.
+	// Wanted reports whether shards are needed at present.
 	Wanted func() bool
-	// Watches reports whether this process has to see that somebody acts for a shard.
-	// Several may; the store lets one of them take it.
+	// Watches reports whether this process has to ensure that some process acts for a shard.
+	// Several processes may watch a shard; the store lets only one of them take it.
 	Watches func(shard int) bool
-	// Acts asks a process whether it acts for a shard. answered is false when it gives no
-	// answer.
+	// Acts asks the process at addr whether it acts for a shard. answered is false if no reply
+	// arrives.
 	Acts func(ctx context.Context, addr string, shard int) (acts, answered bool)
-	// Clock is steady and counts the time in which the host is suspended.
+	// Clock is monotonic and includes the time in which the host is suspended.
 	Clock   func() time.Duration
 	Out     logging.Logger
 	Metrics *metrics.Set
 }
 
-// Keeper keeps a process's shards. It is safe for concurrent use.
+// Keeper takes, renews and releases the shards of a process. It is safe for concurrent use.
 type Keeper struct {
-	cfg    Config
-	follow *store.Follower
-	// table is only touched inside the follower's Look and by the follower.
+	cfg      Config
+	follower *store.Follower
+	// table is guarded by the follower's lock: only Look and the sink access it.
 	table *Table
 
 	mu      sync.Mutex
 	leaving bool
-	missing map[int]missed
+	outages map[int]outage
 }
 
-// missed is since when a shard's owner has not been acting for it.
-type missed struct {
+// outage records since when the owner of a shard has not been acting for it.
+type outage struct {
 	owner string
 	since time.Duration
 }
 
-// NewKeeper returns a Keeper.
+// NewKeeper prepares the shards of a process. It reads and writes no records before Run.
 func NewKeeper(cfg Config) *Keeper {
-	k := &Keeper{cfg: cfg, table: NewTable(cfg.Self, cfg.Lease), missing: make(map[int]missed)}
-	k.follow = store.NewFollower(cfg.Log, cfg.Part, sink{k}, store.FollowSettings{Wait: cfg.Lease / (renewPart + 1), Clock: cfg.Clock})
-	return k
+	m := &Keeper{cfg: cfg, table: NewTable(cfg.Self, cfg.Lease), outages: make(map[int]outage)}
+	m.follower = store.NewFollower(cfg.Log, cfg.Part, sink{m}, store.FollowSettings{Wait: cfg.Lease / (renewDivisor + 1), Clock: cfg.Clock})
+	return m
 }
 
-// sink folds records. The follower calls it one call at a time, with its own lock held.
-type sink struct{ k *Keeper }
+// sink folds records into the table. The follower makes one call at a time and holds its
+// lock during the call.
+type sink struct{ m *Keeper }
 
 // Reset implements store.Sink.
 func (s sink) Reset(recs []store.Record) {
-	s.k.table.Reset(s.k.cfg.Clock(), recs)
+	s.m.table.Reset(s.m.cfg.Clock(), recs)
 }
 
 // Apply implements store.Sink.
 func (s sink) Apply(recs ...store.Record) {
-	now := s.k.cfg.Clock()
+	now := s.m.cfg.Clock()
 	for _, r := range recs {
-		s.k.table.Apply(now, r)
+		s.m.table.Apply(now, r)
 	}
 }
 
-// look calls fn with the table, unless no record was read yet.
-func (k *Keeper) look(fn func(t *Table, end int64)) {
-	k.follow.Look(func(end int64, _ <-chan struct{}) { fn(k.table, end) })
+// viewTable calls fn with the table and the end offset of the records, unless none have
+// been read. fn runs under the lock of the follower.
+func (m *Keeper) viewTable(fn func(t *Table, end int64)) {
+	m.follower.Look(func(end int64, _ <-chan struct{}) { fn(m.table, end) })
 }
 
-// Owner returns the process that acts for a shard, "" while none is known.
-func (k *Keeper) Owner(shard int) (addr string) {
-	k.look(func(t *Table, _ int64) { addr = t.Owner(shard) })
+// Owner returns the address of the process that acts for a shard, "" if none is known.
+func (m *Keeper) Owner(shard int) (addr string) {
+	m.viewTable(func(t *Table, _ int64) { addr = t.Owner(shard) })
 	return addr
 }
 
-// Active returns since when this process has been acting for a shard. It reports false
-// while it must not.
-func (k *Keeper) Active(shard int) (since time.Duration, ok bool) {
-	if k.isLeaving() {
+// Active returns the time since which this process has been acting for a shard. It returns
+// false while the process must not act.
+func (m *Keeper) Active(shard int) (since time.Duration, ok bool) {
+	if m.isLeaving() {
 		return 0, false
 	}
-	confirmed, known := k.follow.Confirmed()
+	confirmed, known := m.follower.Confirmed()
 	if !known {
 		return 0, false
 	}
-	k.look(func(t *Table, _ int64) { since, ok = t.Active(shard, k.cfg.Clock(), confirmed) })
+	m.viewTable(func(t *Table, _ int64) { since, ok = t.Active(shard, m.cfg.Clock(), confirmed) })
 	return since, ok
 }
 
-func (k *Keeper) isLeaving() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.leaving
+func (m *Keeper) isLeaving() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.leaving
 }
 
-// Run keeps the shards until ctx ends. It does nothing before they are wanted.
-func (k *Keeper) Run(ctx context.Context) {
-	for !k.cfg.Wanted() {
-		if wait.For(ctx, wantedEvery) != nil {
+// Run takes and renews shards until ctx ends. It waits until shards are needed.
+func (m *Keeper) Run(ctx context.Context) {
+	for !m.cfg.Wanted() {
+		if wait.For(ctx, wantedPollInterval) != nil {
 			return
 		}
 	}
-	go k.follow.Run(ctx)
-	go k.renew(ctx)
-	go k.takeFree(ctx)
+	go m.follower.Run(ctx)
+	go m.renew(ctx)
+	go m.takeUnowned(ctx)
 	for {
-		k.watch(ctx)
-		k.settle(ctx)
-		// Spread, so that processes that start together do not write together.
-		pause := lookEvery/2 + rand.N(lookEvery)
+		m.watch(ctx)
+		m.settle(ctx)
+		// The pause is random so that processes that start together do not write together.
+		pause := watchInterval/2 + rand.N(watchInterval)
 		if wait.For(ctx, pause) != nil {
 			return
 		}
 	}
 }
 
-// takeFree takes watched shards as soon as their owners give them up.
-func (k *Keeper) takeFree(ctx context.Context) {
+// takeUnowned takes watched shards as soon as they have no owner.
+func (m *Keeper) takeUnowned(ctx context.Context) {
 	for {
-		changed := k.changed()
-		k.take(ctx, k.watched(), nil)
-		wait.ForChange(ctx, changed, freeEvery)
-		if wait.For(ctx, rand.N(writePause)) != nil {
+		changed := m.changed()
+		m.take(ctx, m.watchedOwners(), nil)
+		wait.ForChange(ctx, changed, unownedCheckInterval)
+		if wait.For(ctx, rand.N(maxWriteJitter)) != nil {
 			return
 		}
 	}
 }
 
-// changed returns a channel that is closed at the next change of the records, nil while
-// none were read.
-func (k *Keeper) changed() (ch <-chan struct{}) {
-	k.follow.Look(func(_ int64, c <-chan struct{}) { ch = c })
+// changed returns a channel that is closed at the next change of the records, nil if no
+// records have been read.
+func (m *Keeper) changed() (ch <-chan struct{}) {
+	m.follower.Look(func(_ int64, c <-chan struct{}) { ch = c })
 	return ch
 }
 
-// renew keeps the view confirmed.
-func (k *Keeper) renew(ctx context.Context) {
-	for wait.For(ctx, renewEvery) == nil {
-		if k.follow.Confirm(ctx, k.cfg.Lease/renewPart) != nil {
-			k.cfg.Metrics.Count("shards_not_confirmed") // it stops to act by itself
+// renew keeps the view confirmed within the lease.
+func (m *Keeper) renew(ctx context.Context) {
+	for wait.For(ctx, renewInterval) == nil {
+		if m.follower.Confirm(ctx, m.cfg.Lease/renewDivisor) != nil {
+			m.cfg.Metrics.Count("shards_not_confirmed") // an unconfirmed view expires, so this process stops acting
 		}
 	}
 }
 
-// watch takes over the watched shards whose owners are gone.
-func (k *Keeper) watch(ctx context.Context) {
-	owners := k.watched()
-	k.take(ctx, owners, k.abandoned(ctx, owners))
+// watch takes over the watched shards whose owners have failed.
+func (m *Keeper) watch(ctx context.Context) {
+	owners := m.watchedOwners()
+	m.take(ctx, owners, m.orphaned(ctx, owners))
 }
 
-// watched returns the owners of the shards that this process watches over, "" for none.
-func (k *Keeper) watched() map[int]string {
+// watchedOwners returns the owner of each shard that this process watches, "" for none.
+func (m *Keeper) watchedOwners() map[int]string {
 	owners := make(map[int]string)
-	k.look(func(t *Table, _ int64) {
-		for n := range k.cfg.Shards {
-			if k.cfg.Watches(n) {
+	m.viewTable(func(t *Table, _ int64) {
+		for n := range m.cfg.Shards {
+			if m.cfg.Watches(n) {
 				owners[n] = t.Owner(n)
 			}
 		}
@@ -204,155 +210,157 @@
 	return owners
 }
 
-// take takes the shards without owner, and those whose owner is gone, unless somebody else
-// has done so meanwhile.
-func (k *Keeper) take(ctx context.Context, owners map[int]string, gone []int) {
-	due := slices.Clone(gone)
+// take takes the shards without an owner and the given orphaned shards. It skips shards
+// whose owner has changed in the meantime.
+func (m *Keeper) take(ctx context.Context, owners map[int]string, orphaned []int) {
+	due := slices.Clone(orphaned)
 	for n, owner := range owners {
 		if owner == "" {
 			due = append(due, n)
 		}
 	}
-	if len(due) == 0 || k.isLeaving() {
+	if len(due) == 0 || m.isLeaving() {
 		return
 	}
-	err := k.write(ctx, func(t *Table) ([]store.Record, error) {
+	err := m.write(ctx, func(t *Table) ([]store.Record, error) {
 		return records(due, func(n int) bool { return t.Owner(n) == owners[n] }, t.claim)
 	})
-	k.tell("shards taken", due, err)
+	m.logWrite("shards taken", due, err)
 }
 
-// abandoned asks the owners of watched shards and returns the shards whose owners have
-// not acted for too long.
-func (k *Keeper) abandoned(ctx context.Context, owners map[int]string) []int {
-	now := k.cfg.Clock()
-	silent, heard := k.askAll(ctx, owners)
-	limit := goneAfter
-	if len(silent) > 0 && !heard && !k.hears(ctx, silent) {
-		limit = aloneAfter
+// orphaned probes the given owners and returns the shards whose owners have not acted for
+// too long.
+func (m *Keeper) orphaned(ctx context.Context, owners map[int]string) []int {
+	now := m.cfg.Clock()
+	notActing, anyAnswered := m.probeOwners(ctx, owners)
+	timeout := takeoverTimeout
+	if len(notActing) > 0 && !anyAnswered && !m.anyOtherAnswers(ctx, notActing) {
+		timeout = isolatedTakeoverTimeout
 	}
-	return k.missed(silent, now, limit)
+	return m.expiredOutages(notActing, now, timeout)
 }
 
-// askAll asks the owners of shards side by side whether they act for them. It returns the
-// shards for which nobody says so, and whether any process answered at all.
-func (k *Keeper) askAll(ctx context.Context, owners map[int]string) (silent map[int]string, heard bool) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// probeOwners asks the owners of shards concurrently whether they act for them. It returns
+// the shards whose owners did not confirm it, and whether any process answered at all.
+func (m *Keeper) probeOwners(ctx context.Context, owners map[int]string) (notActing map[int]string, anyAnswered bool) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	silent = make(map[int]string)
-	var mu sync.Mutex // of what is returned
+	notActing = make(map[int]string)
+	var mu sync.Mutex // guards the results
 	var all sync.WaitGroup
 	for n, owner := range owners {
-		if owner == "" || owner == k.cfg.Self {
+		if owner == "" || owner == m.cfg.Self {
 			continue
 		}
 		all.Go(func() {
-			acts, answered := k.cfg.Acts(ctx, owner, n)
+			acts, answered := m.cfg.Acts(ctx, owner, n)
 			mu.Lock()
 			defer mu.Unlock()
-			heard = heard || answered
+			anyAnswered = anyAnswered || answered
 			if !acts {
-				silent[n] = owner
+				notActing[n] = owner
 			}
 		})
 	}
 	all.Wait()
-	return silent, heard
+	return notActing, anyAnswered
 }
 
-// hears reports whether any process answers other than those that are silent.
-func (k *Keeper) hears(ctx context.Context, silent map[int]string) bool {
-	others := make(map[string]int) // with one of its shards
-	k.look(func(t *Table, _ int64) {
-		for n := range k.cfg.Shards {
+// anyOtherAnswers reports whether any process answers besides the owners that do not act. It
+// probes up to maxProbes processes.
+func (m *Keeper) anyOtherAnswers(ctx context.Context, notActing map[int]string) bool {
+	others := make(map[string]int) // one shard of each process, by address
+	m.viewTable(func(t *Table, _ int64) {
+		for n := range m.cfg.Shards {
 			others[t.Owner(n)] = n
 		}
 	})
 	delete(others, "")
-	delete(others, k.cfg.Self)
-	for _, owner := range silent {
+	delete(others, m.cfg.Self)
+	for _, owner := range notActing {
 		delete(others, owner)
 	}
 	tries := 0
-	for owner, n := range others { // in any order
-		one, cancel := context.WithTimeout(ctx, askTimeout)
-		_, answered := k.cfg.Acts(one, owner, n)
+	for owner, n := range others { // map order, so the probed processes vary
+		one, cancel := context.WithTimeout(ctx, probeTimeout)
+		_, answered := m.cfg.Acts(one, owner, n)
 		cancel()
 		if answered {
 			return true
 		}
-		if tries++; tries == hearTries {
+		if tries++; tries == maxProbes {
 			break
 		}
 	}
 	return false
 }
 
-// missed notes the shards for which nobody acts and returns those for which that has been
-// so for too long. An owner that has just taken its shard waits for a lease first.
-func (k *Keeper) missed(silent map[int]string, now, limit time.Duration) []int {
+// expiredOutages records the shards whose owners do not act and returns those whose outage
+// has lasted for the time-out. An owner that has just taken its shard gets two leases more,
+// because it waits before it acts.
+func (m *Keeper) expiredOutages(notActing map[int]string, now, timeout time.Duration) []int {
 	settled := make(map[int]bool)
-	k.look(func(t *Table, _ int64) {
-		for n := range silent {
+	m.viewTable(func(t *Table, _ int64) {
+		for n := range notActing {
 			settled[n] = t.Settled(n)
 		}
 	})
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for n := range k.missing {
-		if silent[n] != k.missing[n].owner {
-			delete(k.missing, n)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for n := range m.outages {
+		if notActing[n] != m.outages[n].owner {
+			delete(m.outages, n)
 		}
 	}
-	var gone []int
-	for n, owner := range silent {
-		m, ok := k.missing[n]
+	var expired []int
+	for n, owner := range notActing {
+		o, ok := m.outages[n]
 		if !ok {
-			k.missing[n] = missed{owner: owner, since: now}
+			m.outages[n] = outage{owner: owner, since: now}
 			continue
 		}
-		within := limit
+		within := timeout
 		if !settled[n] {
-			within += 2 * k.cfg.Lease
+			within += 2 * m.cfg.Lease
 		}
-		if now-m.since >= within {
-			gone = append(gone, n)
+		if now-o.since >= within {
+			expired = append(expired, n)
 		}
 	}
-	return gone
+	return expired
 }
 
-// settle records that the waits for shards are over.
-func (k *Keeper) settle(ctx context.Context) {
+// settle records that the takeover waits of this process are over.
+func (m *Keeper) settle(ctx context.Context) {
 	var ended []int
-	k.look(func(t *Table, _ int64) { ended = t.Unsettled(k.cfg.Clock()) })
-	if len(ended) == 0 || k.isLeaving() {
+	m.viewTable(func(t *Table, _ int64) { ended = t.Unsettled(m.cfg.Clock()) })
+	if len(ended) == 0 || m.isLeaving() {
 		return
 	}
-	err := k.write(ctx, func(t *Table) ([]store.Record, error) {
-		return records(ended, func(n int) bool { return t.Owner(n) == k.cfg.Self }, t.settle)
+	err := m.write(ctx, func(t *Table) ([]store.Record, error) {
+		return records(ended, func(n int) bool { return t.Owner(n) == m.cfg.Self }, t.settle)
 	})
-	k.tell("shards settled", ended, err)
+	m.logWrite("shards settled", ended, err)
 }
 
-// Leave stops acting and gives this process's shards up, so that others act for them at
-// once.
-func (k *Keeper) Leave(ctx context.Context) {
-	k.mu.Lock()
-	k.leaving = true
-	k.mu.Unlock()
-	var mine []int
-	k.look(func(t *Table, _ int64) { mine = t.Mine() })
-	if len(mine) == 0 {
+// Leave stops acting and releases the shards of this process, so that others can act for
+// them at once.
+func (m *Keeper) Leave(ctx context.Context) {
+	m.mu.Lock()
+	m.leaving = true
+	m.mu.Unlock()
+	var owned []int
+	m.viewTable(func(t *Table, _ int64) { owned = t.Owned() })
+	if len(owned) == 0 {
 		return
 	}
-	err := k.write(ctx, func(t *Table) ([]store.Record, error) {
-		return records(mine, func(n int) bool { return t.Owner(n) == k.cfg.Self }, t.release)
+	err := m.write(ctx, func(t *Table) ([]store.Record, error) {
+		return records(owned, func(n int) bool { return t.Owner(n) == m.cfg.Self }, t.release)
 	})
-	k.tell("shards released", mine, err)
+	m.logWrite("shards released", owned, err)
 }
 
-// records builds the records of those shards for which they are still due.
+// records builds the records of the given shards for which a record is still due.
 func records(shards []int, due func(int) bool, build func(int) (store.Record, error)) ([]store.Record, error) {
 	var out []store.Record
 	for _, n := range shards {
@@ -368,44 +376,46 @@
 	return out, nil
 }
 
-// write appends what decide asks for, on the condition that nobody has written meanwhile.
-func (k *Keeper) write(ctx context.Context, decide func(t *Table) ([]store.Record, error)) error {
-	ctx, cancel := context.WithTimeout(ctx, writeWithin)
+// write appends the records that decide returns, on the condition that no other process has
+// written since the table was read. After a conflict it reads the new records and retries.
+func (m *Keeper) write(ctx context.Context, decide func(t *Table) ([]store.Record, error)) error {
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	var last error
-	for range writeTries {
+	var appendErr error
+	for range maxWriteAttempts {
 		var recs []store.Record
-		var at int64
+		var offset int64
 		var err error
-		k.look(func(t *Table, end int64) { at, recs, err = end, nil, nil; recs, err = decide(t) })
+		m.viewTable(func(t *Table, end int64) { offset, recs, err = end, nil, nil; recs, err = decide(t) })
 		if err != nil || len(recs) == 0 {
 			return err
 		}
-		_, last = k.cfg.Log.Append(ctx, k.cfg.Part, recs, at)
-		if last == nil {
-			k.follow.Appended(recs, at)
+		_, appendErr = m.cfg.Log.Append(ctx, m.cfg.Part, recs, offset)
+		if appendErr == nil {
+			m.follower.Appended(recs, offset)
 			return nil
 		}
 		var conflict *store.ConflictError
-		if !errors.As(last, &conflict) {
-			return last
+		if !errors.As(appendErr, &conflict) {
+			return appendErr
 		}
-		if err := k.follow.Confirm(ctx, 0); err != nil {
+		if err := m.follower.Confirm(ctx, 0); err != nil {
 			return err
 		}
-		if err := wait.For(ctx, rand.N(writePause)); err != nil {
+		if err := wait.For(ctx, rand.N(maxWriteJitter)); err != nil {
 			return err
 		}
 	}
-	return last
+	return appendErr
 }
 
-func (k *Keeper) tell(what string, shards []int, err error) {
+// logWrite logs the result of a write of shard records.
+func (m *Keeper) logWrite(action string, shards []int, err error) {
 	slices.Sort(shards)
 	if err != nil {
-		k.cfg.Metrics.Count("shards_not_written")
-		k.cfg.Out.Warn(what+": not written", logging.F("shards", shards), logging.F("error", err.Error()))
+		m.cfg.Metrics.Count("shards_not_written")
+		m.cfg.Out.Warn(action+": write failed", logging.F("shards", shards), logging.F("error", err.Error()))
 		return
 	}
-	k.cfg.Out.Info(what, logging.F("shards", shards))
+	m.cfg.Out.Info(action, logging.F("shards", shards))
 }
--- a/shards/manager_test.go
+++ b/shards/manager_test.go
@@ -23,27 +23,27 @@
 	lease      = 4500 * time.Millisecond
 )
 
-// host is one process that may act for shards.
+// host is a simulated host with one process that may act for shards.
 type host struct {
 	name string
 	*shards.Keeper
-	stop  context.CancelFunc
-	up    bool
-	cut   bool
-	ahead time.Duration // time for which it was suspended
+	stop        context.CancelFunc
+	up          bool
+	unreachable bool          // from the other hosts
+	suspended   time.Duration // total time for which the host was suspended
 }
 
-// cluster is a few hosts in virtual time.
+// cluster is a simulated fleet of hosts in virtual time.
 type cluster struct {
-	ctx   context.Context
-	store *sharedstore.Store
-	began time.Time
-	mu    sync.Mutex
-	hosts []*host
+	ctx     context.Context
+	store   *sharedstore.Store
+	started time.Time
+	mu      sync.Mutex
+	hosts   []*host
 }
 
 func newCluster(ctx context.Context) *cluster {
-	c := &cluster{ctx: ctx, store: sharedstore.New(1), began: time.Now()}
+	c := &cluster{ctx: ctx, store: sharedstore.New(1), started: time.Now()}
 	for n := range hostCount {
 		c.hosts = append(c.hosts, &host{name: fmt.Sprint("h", n)})
 	}
@@ -65,17 +65,18 @@
 		Self: h.name, Shards: shardCount, Lease: lease, Log: c.store.For(h.name), Part: store.Partition{Topic: "shards"},
 		Wanted: func() bool { return true }, Watches: func(int) bool { return true },
 		Acts:  func(ctx context.Context, addr string, shard int) (bool, bool) { return c.acts(ctx, h, addr, shard) },
-		Clock: func() time.Duration { c.mu.Lock(); defer c.mu.Unlock(); return time.Since(c.began) + h.ahead },
+		Clock: func() time.Duration { c.mu.Lock(); defer c.mu.Unlock(); return time.Since(c.started) + h.suspended },
 		Out:   logging.Logger{}, Metrics: metrics.New(h.name),
 	})
 	go h.Run(ctx)
 }
 
+// acts asks a process, on behalf of the host from, whether it acts for a shard.
 func (c *cluster) acts(ctx context.Context, from *host, addr string, shard int) (acts, answered bool) {
 	c.mu.Lock()
 	var to *shards.Keeper
 	for _, h := range c.hosts {
-		if h.name == addr && h.up && !h.cut && !from.cut {
+		if h.name == addr && h.up && !h.unreachable && !from.unreachable {
 			to = h.Keeper
 		}
 	}
@@ -95,18 +96,19 @@
 	h.up = false
 }
 
-func (c *cluster) setCut(h *host, cut bool) {
+// setIsolated cuts a host off from the other hosts and from the store, or reconnects it.
+func (c *cluster) setIsolated(h *host, isolated bool) {
 	c.mu.Lock()
-	h.cut = cut
+	h.unreachable = isolated
 	c.mu.Unlock()
 	fault := sharedstore.None
-	if cut {
+	if isolated {
 		fault = sharedstore.Silent
 	}
 	c.store.SetFault(h.name, fault)
 }
 
-// acting returns the hosts that act for a shard now.
+// acting returns the names of the hosts that act for a shard at present.
 func (c *cluster) acting(shard int) (out []string) {
 	for _, h := range c.hosts {
 		if !h.up {
@@ -119,7 +121,7 @@
 	return out
 }
 
-// step is one step of a drawn history.
+// step is one step of a random history: a fault or a repair at a host, followed by a pause.
 type step struct {
 	Kind, Host, Ms int
 }
@@ -132,17 +134,18 @@
 	}
 }
 
-// Guards against two processes that act for a shard at the same time, whatever is killed,
-// started again, cut off, suspended or stopped, and against a shard that is left alone.
-func TestOneProcessActsForAShard(t *testing.T) {
+// Guards against two processes that act for a shard at the same time while processes are
+// killed, restarted, cut off, suspended or stopped, and against a shard that stays without
+// an acting process afterwards.
+func TestAtMostOneProcessActsForShard(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(drawStep), 1, 30).Draw(rt, "steps")
 		var failure string
 		synctest.Test(t, func(*testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
-			failure = play(ctx, steps)
+			failure = runSteps(ctx, steps)
 			cancel()
-			time.Sleep(time.Minute) // what was given up ends
+			time.Sleep(time.Minute) // lets cancelled goroutines end
 		})
 		if failure != "" {
 			rt.Fatal(failure)
@@ -150,10 +153,11 @@
 	})
 }
 
-func play(ctx context.Context, steps []step) string {
+// runSteps runs the steps and returns the first violation, "" for none.
+func runSteps(ctx context.Context, steps []step) string {
 	c := newCluster(ctx)
-	const start = 8 * time.Second
-	time.Sleep(start)
+	const startup = 8 * time.Second
+	time.Sleep(startup)
 	for n, st := range steps {
 		h := c.hosts[st.Host]
 		switch st.Kind {
@@ -162,12 +166,12 @@
 		case 1:
 			c.start(h)
 		case 2:
-			c.setCut(h, true)
+			c.setIsolated(h, true)
 		case 3:
-			c.setCut(h, false)
+			c.setIsolated(h, false)
 		case 4:
 			c.mu.Lock()
-			h.ahead += time.Duration(st.Ms) * time.Millisecond
+			h.suspended += time.Duration(st.Ms) * time.Millisecond
 			c.mu.Unlock()
 		case 5:
 			if h.up {
@@ -176,10 +180,10 @@
 			}
 		case 7:
 			c.mu.Lock()
-			h.cut = true // from the other hosts alone
+			h.unreachable = true // from the other hosts only, not from the store
 			c.mu.Unlock()
 		case 8:
-			c.store.SetFault(h.name, sharedstore.Silent) // from the store alone
+			c.store.SetFault(h.name, sharedstore.Silent) // from the store only, not from the other hosts
 		case 6:
 			c.store.Forget(store.Partition{Topic: "shards"})
 		}
@@ -187,27 +191,27 @@
 			time.Sleep(100 * time.Millisecond)
 			for s := range shardCount {
 				if acting := c.acting(s); len(acting) > 1 {
-					return fmt.Sprintf("step %d: %v act for shard %d", n, acting, s)
+					return fmt.Sprintf("step %d: %v act for shard %d, at most one process may", n, acting, s)
 				}
 			}
 		}
 	}
 	for _, h := range c.hosts {
-		c.setCut(h, false)
+		c.setIsolated(h, false)
 		c.start(h)
 	}
-	const settled = 20 * time.Second
-	time.Sleep(settled)
+	const recovery = 20 * time.Second
+	time.Sleep(recovery)
 	for s := range shardCount {
 		if acting := c.acting(s); len(acting) != 1 {
-			return fmt.Sprintf("%d processes act for shard %d in the end", len(acting), s)
+			return fmt.Sprintf("%d processes act for shard %d after recovery, 1 expected", len(acting), s)
 		}
 	}
 	return ""
 }
 
-// Guards against a planned stop after which nobody acts for a shard for a while.
-func TestAReleasedShardIsTakenAtOnce(t *testing.T) {
+// Guards against a planned stop that leaves a shard without an acting process for a while.
+func TestReleasedShardIsTakenAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() {
@@ -222,16 +226,16 @@
 			time.Sleep(200 * time.Millisecond)
 			for s := range shardCount {
 				if len(c.acting(s)) != 1 {
-					t.Errorf("%v act for shard %d after %s left", c.acting(s), s, h.name)
+					t.Errorf("%v act for shard %d after %s stopped, 1 process expected", c.acting(s), s, h.name)
 				}
 			}
 		}
 	})
 }
 
-// Guards against a start of all processes after which nobody acts for seconds, although
-// each of them had its shards before.
-func TestAStartedProcessGoesOnWithItsShards(t *testing.T) {
+// Guards against a restart of all processes after which none acts for several seconds,
+// although each of them owned its shards before.
+func TestRestartedProcessResumesItsShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() {
@@ -250,7 +254,7 @@
 		time.Sleep(100 * time.Millisecond)
 		for s := range shardCount {
 			if len(c.acting(s)) != 1 {
-				t.Errorf("%v act for shard %d", c.acting(s), s)
+				t.Errorf("%v act for shard %d after the restart, 1 process expected", c.acting(s), s)
 			}
 		}
 	})
