--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,15 +1,15 @@
-// Package balance chooses the target for a request. It is pure: what is known of
-// the targets, the time and the request come in, a choice comes out.
+// Package balance chooses the target for a request. It does no I/O and reads no clock:
+// the state of the targets, the time and the request come in, a choice comes out.
 //
-// Targets admit requests in their order of arrival, so a request that waits
-// inside one waits behind whatever came before it. The choice therefore goes
-// first to a target with a free slot, then to one where batch work can be asked
-// to leave, and only then to the shortest queue.
+// Targets admit requests in their order of arrival, so a request that waits at a target
+// waits behind all earlier ones. The choice therefore prefers a target with a free slot,
+// then one where batch work can be asked to yield its slot, and only then the shortest
+// queue.
 //
-// Reported loads are a little old. At a peak several requests come to several entries
-// between two reports; all of them would meet at the one least loaded target and wait
-// there while slots are free elsewhere. So among targets with a free slot the
-// choice is drawn, by the square of the free slots.
+// Reported loads are slightly out of date. At a peak several entries receive requests
+// between two reports; with a least-loaded choice all of these requests go to the same
+// target and wait there while slots are free elsewhere. Among targets with a free slot the
+// choice is therefore a weighted random draw, by the square of the free slots.
 package balance
 
 import (
@@ -21,28 +21,29 @@
 	"pumiceford/targets"
 )
 
-// Table holds the views of all targets. It is not safe for concurrent use.
+// Table holds the state of all targets as this process knows it. It is not safe for
+// concurrent use.
 type Table struct {
-	salt  uint64
-	views map[string]*View
-	order []*View                  // the same, by id
-	holds map[string]time.Duration // a request holds its slot, by service
+	salt      uint64
+	views     map[string]*View
+	order     []*View                  // the values of views, sorted by instance ID
+	holdTimes map[string]time.Duration // average time that a request holds its slot, by service
 }
 
-// NewTable returns an empty Table. The salt orders targets that are equally good
-// for batch: processes with different salts, which see the same loads, do not all
-// ask the same agent first.
+// NewTable returns an empty Table. The salt breaks ties between targets that are equally
+// good for batch work, so that processes with different salts and the same loads do not
+// all ask the same agent first.
 func NewTable(salt uint64) *Table {
-	return &Table{salt: salt, views: make(map[string]*View), holds: make(map[string]time.Duration)}
+	return &Table{salt: salt, views: make(map[string]*View), holdTimes: make(map[string]time.Duration)}
 }
 
-// Replace takes the registered instances.
+// Replace sets the registered instances.
 func (t *Table) Replace(all []targets.Instance) {
 	named := make(map[string]bool, len(all))
 	for _, in := range all {
 		named[in.ID] = true
-		// What an earlier life did, its load and its failures, says nothing of a
-		// target that has started again.
+		// The load and the failures of an earlier incarnation do not apply to a
+		// target that has restarted.
 		if v := t.views[in.ID]; v != nil && v.Instance.Born == in.Born {
 			v.Instance = in
 			continue
@@ -57,78 +58,81 @@
 	t.order = slices.SortedFunc(maps.Values(t.views), func(a, b *View) int { return strings.Compare(a.Instance.ID, b.Instance.ID) })
 }
 
-// Note takes a target's load.
+// Note stores the load that a target's agent reported and resets the corrections made
+// since the previous report. It ignores unknown targets.
 func (t *Table) Note(now time.Time, id string, r Report) {
 	v := t.views[id]
 	if v == nil {
 		return
 	}
-	v.report, v.heard, v.atReport, v.seated, v.full = r, now, v.online, 0, false
+	v.report, v.reportedAt, v.onlineAtReport, v.seatsTaken, v.reserveFailed = r, now, v.onlineInFlight, 0, false
 }
 
-// Began counts an online request sent to a target.
+// Began records that an online request was sent to a target.
 func (t *Table) Began(now time.Time, id string) {
 	if v := t.views[id]; v != nil {
-		v.online++
-		v.conns.take(now)
+		v.onlineInFlight++
+		v.conns.acquire(now)
 	}
 }
 
-// Ended counts an online request that ended there, and whether its connection
-// can be used again.
+// Ended records the end of an online request at a target. The argument reusable says
+// whether its connection can be used again.
 func (t *Table) Ended(now time.Time, id string, reusable bool) {
 	if v := t.views[id]; v != nil {
-		v.online = max(v.online-1, 0) // it may have begun in an earlier life
-		v.conns.give(now, reusable)
+		v.onlineInFlight = max(v.onlineInFlight-1, 0) // the request may have started at an earlier incarnation
+		v.conns.release(now, reusable)
 	}
 }
 
-// BatchBegan counts an item sent to a target.
+// BatchBegan records that a batch item was sent to a target.
 func (t *Table) BatchBegan(now time.Time, id string) {
 	if v := t.views[id]; v != nil {
-		v.conns.take(now)
+		v.conns.acquire(now)
 	}
 }
 
-// BatchEnded counts an item that ended there.
+// BatchEnded records the end of a batch item at a target. The argument reusable says
+// whether its connection can be used again.
 func (t *Table) BatchEnded(now time.Time, id string, reusable bool) {
 	if v := t.views[id]; v != nil {
-		v.conns.give(now, reusable)
+		v.conns.release(now, reusable)
 	}
 }
 
-// Full notes that a target had no slot to reserve.
+// Full records that a target had no slot to reserve.
 func (t *Table) Full(id string) {
 	if v := t.views[id]; v != nil {
-		v.full = true
+		v.reserveFailed = true
 	}
 }
 
-// Choice is a target with what decided for it.
+// Choice is the chosen target with the values that the choice is based on.
 type Choice struct {
 	Instance targets.Instance
-	Load     int
-	Batch    int
-	Waiting  int           // online requests estimated to wait there
-	Wait     time.Duration // until a slot is estimated to come free there
-	Age      time.Duration // of the report that the estimate rests on; -1 for none
-	Among    int           // targets that could have been chosen
+	Load     int           // estimated requests at the target, running and queued
+	Batch    int           // reported requests running for batch
+	Waiting  int           // estimated online requests waiting for a slot there
+	Wait     time.Duration // estimated time until a slot becomes free there
+	Age      time.Duration // age of the load report; -1 if there is no current one
+	Among    int           // number of targets that could have been chosen
 }
 
-// Reported reports whether the target's load was reported lately.
+// Reported reports whether the choice is based on a current load report.
 func (c Choice) Reported() bool {
 	return c.Age >= 0
 }
 
-// Pick chooses the target of a service for an online request. It reports false
-// when no target may get it. The draw is a random number from 0 up to 1.
+// Pick chooses the target of a service for an online request, leaving out the targets in
+// tried. It returns false if there is no eligible target. The argument draw is a random
+// number in [0, 1).
 func (t *Table) Pick(now time.Time, service string, tried map[string]bool, draw float64) (Choice, bool) {
 	return t.choose(now, t.candidates(now, service, tried), draw)
 }
 
-// PickReported is Pick among the targets whose load is known, as long as there are any.
-// Once some of the others turned out to be full, a short queue that is known is better
-// than one that is not.
+// PickReported is like Pick, but chooses only among targets with a current load report if
+// there are any. It is used after a target without a report turned out to be full: a short
+// queue of known length is then better than a queue of unknown length.
 func (t *Table) PickReported(now time.Time, service string, tried map[string]bool, draw float64) (Choice, bool) {
 	all := t.candidates(now, service, tried)
 	var known []*View
@@ -143,57 +147,60 @@
 	return t.choose(now, all, draw)
 }
 
-// candidates returns the targets that may get a request, in a fixed order.
+// candidates returns the targets that may get a request, sorted by instance ID. If all of
+// them are ejected, it returns the ejected ones.
 func (t *Table) candidates(now time.Time, service string, tried map[string]bool) []*View {
-	if all := t.usable(now, service, tried, false); len(all) > 0 {
+	if all := t.eligible(now, service, tried, false); len(all) > 0 {
 		return all
 	}
-	// All are ejected: a doubtful target is better than none.
-	return t.usable(now, service, tried, true)
+	// All are ejected: a target that may fail is better than none.
+	return t.eligible(now, service, tried, true)
 }
 
-// choose draws one of the candidates, if there are any.
-func (t *Table) choose(now time.Time, among []*View, draw float64) (Choice, bool) {
-	if len(among) == 0 {
+// choose draws one of the candidates. It returns false if there are none.
+func (t *Table) choose(now time.Time, candidates []*View, draw float64) (Choice, bool) {
+	if len(candidates) == 0 {
 		return Choice{}, false
 	}
-	v := drawn(now, among, draw)
-	c := Choice{Instance: v.Instance, Load: v.load(now), Batch: v.batch(now), Waiting: v.Waiting(now), Wait: t.wait(now, v), Age: -1, Among: len(among)}
+	v := drawWeighted(now, candidates, draw)
+	c := Choice{Instance: v.Instance, Load: v.load(now), Batch: v.batch(now), Waiting: v.Waiting(now), Wait: t.wait(now, v), Age: -1, Among: len(candidates)}
 	if v.reported(now) {
-		c.Age = now.Sub(v.heard)
+		c.Age = now.Sub(v.reportedAt)
 	}
 	return c, true
 }
 
-// usable returns the targets that are fit for a request, in a fixed order.
-func (t *Table) usable(now time.Time, service string, tried map[string]bool, ejected bool) []*View {
+// eligible returns the targets that may get a request, sorted by instance ID. With
+// includeEjected it includes the ejected ones.
+func (t *Table) eligible(now time.Time, service string, tried map[string]bool, includeEjected bool) []*View {
 	var out []*View
 	for _, v := range t.order {
-		if v.usable(now, service, tried, ejected) {
+		if v.eligible(now, service, tried, includeEjected) {
 			out = append(out, v)
 		}
 	}
 	return out
 }
 
-// drawn draws a target of the best tier.
-func drawn(now time.Time, among []*View, draw float64) *View {
+// drawWeighted draws a target of the best tier by weight. The argument draw is a random
+// number in [0, 1).
+func drawWeighted(now time.Time, candidates []*View, draw float64) *View {
 	best, sum := tierQueue, 0.0
-	weights := make([]float64, len(among))
-	for i, v := range among {
-		at, w := v.place(now)
-		if at < best {
-			best, sum = at, 0
+	weights := make([]float64, len(candidates))
+	for i, v := range candidates {
+		tier, w := v.rank(now)
+		if tier < best {
+			best, sum = tier, 0
 			clear(weights[:i])
 		}
-		if at == best {
+		if tier == best {
 			weights[i] = w
 			sum += w
 		}
 	}
 	left := draw * sum
-	last := among[0]
-	for i, v := range among {
+	last := candidates[0]
+	for i, v := range candidates {
 		if weights[i] == 0 {
 			continue
 		}
@@ -205,34 +212,35 @@
 	return last
 }
 
-// MayMove reports whether a request that waits at a target should go to another
-// one. One free slot may be gone when the request comes, so it takes two. All that
-// wait see the same free slots, and each that moves loses its place in a queue and
-// costs a connection, so on average only as many move as slots are free. The draw is a
-// random number from 0 up to 1.
+// MayMove reports whether a request that waits at a target should move to another one. It
+// requires two free slots at the other target, because one free slot may be taken before
+// the request arrives. All waiting requests see the same free slots, and each move gives
+// up a place in a queue and costs a connection; so on average only as many requests move
+// as there are free slots. The argument draw is a random number in [0, 1).
 func (t *Table) MayMove(now time.Time, service, instance string, draw float64) bool {
-	const room = 2
-	free, waiting, roomy := 0, 0, false
+	const minFree = 2
+	free, waiting, otherFree := 0, 0, false
 	for id, v := range t.views {
-		if !v.usable(now, service, nil, false) || !v.reported(now) {
+		if !v.eligible(now, service, nil, false) || !v.reported(now) {
 			continue
 		}
 		n := v.Free(now)
 		free += max(n, 0)
 		waiting += max(-n, 0)
-		roomy = roomy || id != instance && n >= room
+		otherFree = otherFree || id != instance && n >= minFree
 	}
-	return roomy && draw*float64(waiting) < float64(free)
+	return otherFree && draw*float64(waiting) < float64(free)
 }
 
-// Alive reports whether a target's agent told of it lately: a request there that
-// has no answer yet waits for a slot.
+// Alive reports whether a target's agent has recently reported that the target responds. A
+// request there without an answer is then waiting for a slot.
 func (t *Table) Alive(now time.Time, id string) bool {
 	v := t.views[id]
-	return v != nil && !v.heard.IsZero() && now.Sub(v.heard) <= aliveFor && !v.report.Silent
+	return v != nil && !v.reportedAt.IsZero() && now.Sub(v.reportedAt) <= aliveReportAge && !v.report.Silent
 }
 
-// Serving returns how many targets of a service may get work at all.
+// Serving returns the number of targets of a service that are neither draining nor
+// superseded.
 func (t *Table) Serving(service string) int {
 	n := 0
 	for _, v := range t.views {
@@ -243,18 +251,19 @@
 	return n
 }
 
-// HasFree reports whether a target is told to have a free slot now.
+// HasFree reports whether a target has a free slot according to a current load report.
 func (t *Table) HasFree(now time.Time, id string) bool {
 	v := t.views[id]
 	return v != nil && v.reported(now) && v.Free(now) > 0
 }
 
-// Silent reports whether a target's agent says that it does not answer.
+// Silent reports whether a target's agent currently reports that the target does not
+// respond.
 func (t *Table) Silent(now time.Time, id string) bool {
 	v := t.views[id]
 	return v != nil && v.reported(now) && v.report.Silent
 }
 
-// aliveFor is how long an agent's word shows that its target answers: longer than agents
-// take to repeat themselves.
-const aliveFor = 600 * time.Millisecond
+// aliveReportAge is the maximum age of a report that shows that the target responds. It is
+// longer than the interval at which agents repeat their reports.
+const aliveReportAge = 600 * time.Millisecond
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -20,8 +20,7 @@
 	return out
 }
 
-// fleet replays a load: entries that choose among targets whose loads they hear
-// of late, and requests that hold a slot for a while.
+// fleet simulates entries that choose among targets from slightly outdated load reports.
 type fleet struct {
 	entries []*balance.Table
 	load    map[string]int
@@ -37,7 +36,7 @@
 	return f
 }
 
-func (f *fleet) tell(now time.Time, n, slots int) {
+func (f *fleet) report(now time.Time, n, slots int) {
 	for i := range n {
 		id := fmt.Sprint("i", i)
 		for _, t := range f.entries {
@@ -46,7 +45,7 @@
 	}
 }
 
-// leastLoaded is the naive choice: the least loaded target by the same reports.
+// leastLoaded is the choice to compare with: the target with the lowest reported load.
 func leastLoaded(reported map[string]int, n int) string {
 	best := "i0"
 	for i := range n {
@@ -57,19 +56,19 @@
 	return best
 }
 
-// The onset of a peak: 150 requests a second at eight entries, 18 targets of
-// eight slots half full, loads told each 50 ms, each request 0.75 s long. No more
-// than 128 of the 144 slots are ever needed, so every wait is the choice's fault.
+// Guards against requests that wait while slots are free: with a least-loaded choice all
+// entries send to the same target between two reports, and first events come after 250 to
+// 700 ms.
 //
-// Symptom: first events after 250 to 700 ms while slots are free.
-// Sequence: within one report all entries send to the one least loaded target.
-// Cause: the least loaded target is everybody's choice.
-func TestPeakDoesNotMeetAtOneTarget(t *testing.T) {
+// The replay is the onset of a peak: 150 requests per second at eight entries, 18 targets
+// with eight slots, half of them in use, load reports every 50 ms, 0.75 s per request. At
+// most 128 of the 144 slots are needed at any time, so every wait is due to the choice.
+func TestPeakIsSpreadOverTargets(t *testing.T) {
 	const (
 		n, slots, entries = 18, 8, 8
-		perSecond         = 150
-		holds             = 750 * time.Millisecond
-		told              = 50 * time.Millisecond
+		requestsPerSecond = 150
+		holdTime          = 750 * time.Millisecond
+		reportInterval    = 50 * time.Millisecond
 	)
 	replay := func(naive bool) (waited int) {
 		rnd := rand.New(rand.NewPCG(1, 2))
@@ -85,12 +84,12 @@
 			id := fmt.Sprint("i", i)
 			f.load[id] = rnd.IntN(5)
 		}
-		step := time.Second / perSecond
-		nextTell := start
+		step := time.Second / requestsPerSecond
+		nextReport := start
 		for now := start; now.Before(start.Add(700 * time.Millisecond)); now = now.Add(step) {
-			if !now.Before(nextTell) {
-				nextTell = now.Add(told)
-				f.tell(now, n, slots)
+			if !now.Before(nextReport) {
+				nextReport = now.Add(reportInterval)
+				f.report(now, n, slots)
 				for id, l := range f.load {
 					reported[id] = l
 				}
@@ -117,19 +116,19 @@
 				waited++
 			}
 			f.load[id]++
-			runs = append(runs, run{end: now.Add(holds), id: id, entry: e})
+			runs = append(runs, run{end: now.Add(holdTime), id: id, entry: e})
 		}
 		return waited
 	}
 	drawn, naive := replay(false), replay(true)
-	t.Logf("of 105 requests waited: drawn %d, least loaded %d", drawn, naive)
+	t.Logf("of 105 requests waited: weighted draw %d, least loaded %d", drawn, naive)
 	if drawn > 4 || naive < 4*drawn {
-		t.Fatalf("waited: drawn %d, least loaded %d", drawn, naive)
+		t.Fatalf("waited: weighted draw %d, least loaded %d", drawn, naive)
 	}
 }
 
-// Symptom: an online request waits in a queue although batch work could leave.
-func TestFreeThenDisplacedThenQueued(t *testing.T) {
+// Guards against online requests that queue although batch work could yield a slot.
+func TestPrefersFreeThenPreemptibleThenQueue(t *testing.T) {
 	tab := balance.NewTable(1)
 	tab.Replace(instances(3, 8))
 	now := start
@@ -147,27 +146,27 @@
 		tried[id] = true
 	}
 	if _, ok := tab.Pick(now, "s", tried, 0); ok {
-		t.Fatal("a target was chosen that was tried already")
+		t.Fatal("Pick chose a target that was already tried")
 	}
 }
 
-// Symptom: a leaving or replaced target gets new requests.
-func TestLeavingAndSupersededGetNothing(t *testing.T) {
+// Guards against new requests at draining or superseded targets.
+func TestDrainingAndSupersededGetNoWork(t *testing.T) {
 	tab := balance.NewTable(1)
 	all := instances(2, 8)
 	all[0].Draining = true
 	all[1].Superseded = true
 	tab.Replace(all)
 	if c, ok := tab.Pick(start, "s", nil, 0.5); ok {
-		t.Fatalf("%s was chosen", c.Instance.ID)
+		t.Fatalf("Pick chose %s", c.Instance.ID)
 	}
 	if rooms := tab.Rooms(start, "s"); len(rooms) > 0 {
-		t.Fatalf("batch may go to %v", rooms)
+		t.Fatalf("batch work may go to %v", rooms)
 	}
 }
 
-// Symptom: the whole service is refused because each target failed once.
-func TestAllEjectedIsBetterThanNone(t *testing.T) {
+// Guards against a service that rejects all requests because each target failed once.
+func TestPicksEjectedTargetIfAllAreEjected(t *testing.T) {
 	tab := balance.NewTable(1)
 	tab.Replace(instances(2, 8))
 	for _, id := range []string{"i0", "i1"} {
@@ -176,16 +175,16 @@
 		}
 	}
 	if _, ok := tab.Pick(start, "s", nil, 0.5); !ok {
-		t.Fatal("nothing was chosen")
+		t.Fatal("Pick chose no target")
 	}
-	// Batch can wait for a sound one.
+	// Batch work can wait until a target is no longer ejected.
 	if rooms := tab.Rooms(start, "s"); len(rooms) > 0 {
-		t.Fatalf("batch may go to ejected targets %v", rooms)
+		t.Fatalf("batch work may go to ejected targets %v", rooms)
 	}
 }
 
-// Symptom: a sound target that lost some answers gets nothing for seconds.
-func TestEjectionNeedsFailuresInARowAndGrows(t *testing.T) {
+// Guards against ejecting a healthy target that lost single answers.
+func TestEjectionNeedsConsecutiveFailuresAndGrows(t *testing.T) {
 	tab := balance.NewTable(1)
 	tab.Replace(instances(1, 8))
 	for range 10 {
@@ -198,47 +197,45 @@
 	for i := range 6 {
 		d := tab.Judge(now, "i0", balance.Unfit)
 		if d == 0 || d < last {
-			t.Fatalf("ejection %d lasts %s after %s", i, d, last)
+			t.Fatalf("ejection %d lasts %s, the previous one lasted %s", i, d, last)
 		}
 		last = d
 		now = now.Add(d)
 	}
 	if last > 4*time.Second {
-		t.Fatalf("ejected for %s", last)
+		t.Fatalf("ejected for %s, want at most 4 s", last)
 	}
 }
 
-// Symptom: online requests wait behind batch at a target whose agent is dead.
-// Cause: batch went there although nobody could ask it to leave.
-func TestNoBatchWithoutAnAgentsWord(t *testing.T) {
+// Guards against online requests that wait behind batch work at a target whose agent has
+// failed: without an agent nobody can ask the batch work to yield.
+func TestNoBatchWorkWithoutCurrentReport(t *testing.T) {
 	tab := balance.NewTable(1)
 	tab.Replace(instances(1, 8))
 	if rooms := tab.Rooms(start, "s"); len(rooms) != 0 {
-		t.Fatalf("never heard of: %v", rooms)
+		t.Fatalf("without any report: got %v, want no targets", rooms)
 	}
 	tab.Note(start, "i0", balance.Report{Active: 6, Slots: 8, Room: 2})
 	if rooms := tab.Rooms(start, "s"); len(rooms) != 1 || rooms[0].Free != 2 {
-		t.Fatalf("heard of: %v", rooms)
+		t.Fatalf("with a current report: got %v, want one target with 2 free slots", rooms)
 	}
 	tab.Seated("i0", true)
 	if rooms := tab.Rooms(start, "s"); len(rooms) != 1 || rooms[0].Free != 1 {
-		t.Fatalf("after a granted seat: %v", rooms)
+		t.Fatalf("after a granted seat: got %v, want one target with 1 free slot", rooms)
 	}
 	tab.Seated("i0", false)
 	if rooms := tab.Rooms(start, "s"); len(rooms) != 0 {
-		t.Fatalf("after a refused seat: %v", rooms)
+		t.Fatalf("after a refused seat: got %v, want no targets", rooms)
 	}
 	if rooms := tab.Rooms(start.Add(3*time.Second), "s"); len(rooms) != 0 {
-		t.Fatalf("heard of long ago: %v", rooms)
+		t.Fatalf("with an outdated report: got %v, want no targets", rooms)
 	}
 }
 
-// Symptom: a target that has started again gets nothing for seconds, or counts as
-// full.
-// Sequence: it dies with requests in flight and is ejected; it starts again under
-// its id.
-// Cause: its load and failures were kept by id alone.
-func TestANewLifeStartsWithoutTheOldOnesRecord(t *testing.T) {
+// Guards against a restarted target that gets no requests for seconds or counts as full:
+// it fails with requests in flight, is ejected and restarts under the same ID. Its earlier
+// load and failures must not apply to the new incarnation.
+func TestRestartedTargetHasNoHistory(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tab := balance.NewTable(0)
 	old := targets.Instance{ID: "a", Born: 1, Service: "s", Slots: 1}
@@ -250,35 +247,33 @@
 	tab.Replace([]targets.Instance{again})
 	c, ok := tab.Pick(now, "s", nil, 0)
 	if !ok || c.Load != 0 {
-		t.Fatalf("%+v %v", c, ok)
+		t.Fatalf("got %+v, %v, want a choice with load 0", c, ok)
 	}
-	tab.Ended(now, "a", false) // the old life's request
+	tab.Ended(now, "a", false) // the request at the earlier incarnation
 	if c, _ := tab.Pick(now, "s", nil, 0); c.Load != 0 {
-		t.Fatalf("load is %d after an end of the old life", c.Load)
+		t.Fatalf("load is %d after the end of a request at the earlier incarnation, want 0", c.Load)
 	}
 }
 
-// Symptom: a target that answers each request with a failure draws more of them than
-// any sound one, from every entry.
-// Sequence: it fails at once, so it always looks empty; each entry sends three
-// requests there before it is ejected, and again after that.
-// Cause: an empty target was preferred whatever came of its requests.
+// Guards against a failing target that draws more requests than any healthy one: it
+// fails at once, so it always looks empty, and each entry sends three requests there
+// before each ejection.
 //
-// Replayed: 40 entries, 56 targets of which five fail at once, 300 requests a second
-// for five seconds. 130 of 1,500 requests met a failing target without doubt,
-// 25 with it.
-func TestAFailingTargetDrawsLittle(t *testing.T) {
+// The replay has 40 entries, 56 targets of which five fail at once, and 300 requests per
+// second for five seconds. Without suspect targets 130 of 1,500 requests reach a failing
+// target, with them 25.
+func TestFailingTargetDrawsFewRequests(t *testing.T) {
 	const (
-		entries, n, slots, bad = 40, 56, 7, 5
-		requests               = 1500
-		between                = 5 * time.Second / requests
-		lasts                  = 700 * time.Millisecond
-		mostMet                = 50
+		entries, n, slots, failing = 40, 56, 7, 5
+		requests                   = 1500
+		interval                   = 5 * time.Second / requests
+		holdTime                   = 700 * time.Millisecond
+		maxReached                 = 50
 	)
 	rng := rand.New(rand.NewPCG(1, 2))
 	f := newFleet(entries, n, slots)
-	now, met := start, 0
-	witnesses := make(map[string]map[int]time.Time)
+	now, reached := start, 0
+	failures := make(map[string]map[int]time.Time)
 	type ending struct {
 		at    time.Time
 		entry int
@@ -286,7 +281,7 @@
 	}
 	var running []ending
 	for r := range requests {
-		now = now.Add(between)
+		now = now.Add(interval)
 		for len(running) > 0 && !now.Before(running[0].at) {
 			e := running[0]
 			running = running[1:]
@@ -295,7 +290,7 @@
 			f.entries[e.entry].Judge(now, e.id, balance.Sound)
 		}
 		if r%15 == 0 {
-			f.tellWith(now, n, slots, witnesses)
+			f.reportWithFailures(now, n, slots, failures)
 		}
 		entry := rng.IntN(entries)
 		c, ok := f.entries[entry].Pick(now, "s", nil, rng.Float64())
@@ -304,32 +299,33 @@
 		}
 		id := c.Instance.ID
 		var number int
-		_, _ = fmt.Sscanf(id, "i%d", &number) // all ids are of this form
-		if number < bad {
-			met++
+		_, _ = fmt.Sscanf(id, "i%d", &number) // all IDs have this form
+		if number < failing {
+			reached++
 			f.entries[entry].Judge(now, id, balance.Doubted)
-			if witnesses[id] == nil {
-				witnesses[id] = make(map[int]time.Time)
+			if failures[id] == nil {
+				failures[id] = make(map[int]time.Time)
 			}
-			witnesses[id][entry] = now
+			failures[id][entry] = now
 			continue
 		}
 		f.entries[entry].Began(now, id)
 		f.load[id]++
-		running = append(running, ending{now.Add(lasts), entry, id})
+		running = append(running, ending{now.Add(holdTime), entry, id})
 	}
-	if met > mostMet {
-		t.Errorf("%d of %d requests met a failing target", met, requests)
+	if reached > maxReached {
+		t.Errorf("%d of %d requests reached a failing target", reached, requests)
 	}
-	t.Logf("%d of %d requests met a failing target", met, requests)
+	t.Logf("%d of %d requests reached a failing target", reached, requests)
 }
 
-// tellWith tells the loads with how many entries told of failures in two seconds.
-func (f *fleet) tellWith(now time.Time, n, slots int, witnesses map[string]map[int]time.Time) {
+// reportWithFailures reports the loads and, for each target, the number of entries that
+// saw a failure within the last two seconds.
+func (f *fleet) reportWithFailures(now time.Time, n, slots int, failures map[string]map[int]time.Time) {
 	for i := range n {
 		id := fmt.Sprint("i", i)
 		count := 0
-		for _, at := range witnesses[id] {
+		for _, at := range failures[id] {
 			if now.Sub(at) <= 2*time.Second {
 				count++
 			}
@@ -340,31 +336,29 @@
 	}
 }
 
-// Symptom: a service with one sound target left refuses requests, or none is served
-// after all agents died.
-// Sequence: every target is in doubt, or all but one that is full.
-// Cause: doubt was taken for certainty.
-func TestDoubtEmptiesNoService(t *testing.T) {
+// Guards against treating suspect targets as failed: a service must still serve requests if
+// all of its targets are suspect, also after all agents failed, or all but a full one.
+func TestSuspectTargetsStillServe(t *testing.T) {
 	tab := balance.NewTable(0)
 	tab.Replace(instances(3, 2))
 	for i := range 3 {
 		tab.Note(start, fmt.Sprint("i", i), balance.Report{Slots: 2, Silent: true})
 	}
 	if _, ok := tab.Pick(start, "s", nil, 0.5); !ok {
-		t.Fatal("no target although none is known to be gone")
+		t.Fatal("Pick chose no target although all are only suspect")
 	}
 	tab.Note(start, "i0", balance.Report{Active: 2, Queued: 1, Slots: 2})
 	if c, _ := tab.Pick(start, "s", nil, 0.5); c.Instance.ID == "i0" {
-		t.Error("a queue is preferred to a target in doubt")
+		t.Error("Pick preferred a queue to a suspect target")
 	}
 	tab.Note(start, "i0", balance.Report{Active: 1, Slots: 2})
 	if c, _ := tab.Pick(start, "s", nil, 0.5); c.Instance.ID != "i0" {
-		t.Error("a target in doubt is preferred to a free slot")
+		t.Error("Pick preferred a suspect target to a free slot")
 	}
-	// An agent's word that stops is doubt as well, until it is heard again.
+	// A target whose agent has stopped reporting is suspect until the next report.
 	later := start.Add(time.Second)
 	tab.Note(later, "i1", balance.Report{Active: 1, Slots: 2})
 	if c, _ := tab.Pick(later, "s", nil, 0.5); c.Instance.ID != "i1" {
-		t.Error("targets whose agents are silent are preferred")
+		t.Error("Pick preferred targets whose agents have stopped reporting")
 	}
 }
--- /dev/null
+++ b/balance/suspect.go
@@ -0,0 +1,29 @@
+package balance
+
+import "time"
+
+// Limits for suspect targets.
+const (
+	// suspectDuration is how long one failure makes a target suspect. A target that fails
+	// every request at once looks empty and would otherwise get more requests than any
+	// healthy one. A healthy target that lost one answer is cleared by its next success.
+	suspectDuration = 2 * time.Second
+	// minFailingEntries is the number of entries that must report failures of a target
+	// before an entry without a failure of its own suspects it. A single entry may have
+	// lost its own network connection.
+	minFailingEntries = 2
+)
+
+// suspect reports whether a target may not answer: it failed for this process recently,
+// it does not respond to its agent, other entries reported failures, or its agent has
+// stopped reporting. If all targets are suspect, the choice among them is the same as if
+// none were.
+func (v *View) suspect(now time.Time) bool {
+	if now.Before(v.suspectUntil) {
+		return true
+	}
+	if v.reportedAt.IsZero() {
+		return false // a new target without a report from its agent yet
+	}
+	return now.Sub(v.reportedAt) > aliveReportAge || v.report.Silent || v.report.Witnesses >= minFailingEntries
+}
--- a/balance/view.go
+++ b/balance/view.go
@@ -6,66 +6,66 @@
 	"pumiceford/targets"
 )
 
-// Limits and weights.
+// Limits for reports and ejections.
 const (
-	// reportFor is how long a reported load counts. Agents repeat themselves much
-	// sooner, so an older word means that the agent is gone.
-	reportFor = 1500 * time.Millisecond
-	// ejectFirst and ejectMost bound how long a target that failed gets nothing.
-	// A target that stays down costs one request each ejectMost.
-	ejectFirst = 500 * time.Millisecond
-	ejectMost  = 4 * time.Second
-	// ejectAfter is how many spoiled or failed answers in a row eject a target.
-	// Some answers of a sound target get lost; three in a row hardly do.
-	ejectAfter = 3
+	// maxReportAge is how long a reported load is valid. Agents repeat their reports much
+	// more often, so an older report means that the agent has failed.
+	maxReportAge = 1500 * time.Millisecond
+	// minEjection and maxEjection bound how long a failed target gets no requests. A
+	// target that stays down costs one request per maxEjection.
+	minEjection = 500 * time.Millisecond
+	maxEjection = 4 * time.Second
+	// ejectAfterFailures is the number of consecutive failed answers that eject a target.
+	// A healthy target loses an answer now and then, but rarely three in a row.
+	ejectAfterFailures = 3
 )
 
-// Report is a target's load as its agent told it.
+// Report is a target's load as reported by its agent.
 type Report struct {
 	Active int // requests running, batch included
-	Queued int
-	Batch  int // running for batch
+	Queued int // requests waiting for a slot
+	Batch  int // requests running for batch
 	Slots  int
-	Room   int // seats that batch work can have
-	Spare  int // seats more for items that are due soon
-	// Silent says that the target does not answer its agent.
+	Room   int // seats that batch work can get
+	Spare  int // further seats for items that are due soon
+	// Silent says that the target does not respond to its agent.
 	Silent bool
-	// Witnesses is how many entries told the agent of failures there lately.
+	// Witnesses is the number of entries that recently reported failures to the agent.
 	Witnesses int
 }
 
-// View is what is known of one target.
+// View is the state of one target as this process knows it.
 type View struct {
 	Instance targets.Instance
 
-	report   Report
-	heard    time.Time
-	online   int  // own online requests there
-	atReport int  // own online requests there when the report came
-	seated   int  // slots not free any more since the report, for batch
-	full     bool // it had no slot to reserve since the report
-	conns    conns
+	report         Report
+	reportedAt     time.Time
+	onlineInFlight int  // online requests from this process
+	onlineAtReport int  // value of onlineInFlight at the last report
+	seatsTaken     int  // free seats used up for batch work since the last report
+	reserveFailed  bool // the target had no slot to reserve since the last report
+	conns          conns
 
-	doubted   time.Time // it is doubted until then
-	failures  int
-	ejections int
-	ejected   time.Time // gets nothing until then
+	suspectUntil time.Time
+	failures     int
+	ejections    int
+	ejectedUntil time.Time
 }
 
-// load estimates the requests at the target: the reported ones corrected by
-// what this process sent or saw end since.
+// load estimates the requests at the target: the reported ones, corrected by the online
+// requests that this process has started or seen end since the report.
 func (v *View) load(now time.Time) int {
 	if !v.reported(now) {
-		return v.online
+		return v.onlineInFlight
 	}
-	if v.full {
-		return max(v.report.Active+v.report.Queued+v.online-v.atReport, v.slots())
+	if v.reserveFailed {
+		return max(v.report.Active+v.report.Queued+v.onlineInFlight-v.onlineAtReport, v.slots())
 	}
-	return max(v.report.Active+v.report.Queued+v.online-v.atReport, v.online)
+	return max(v.report.Active+v.report.Queued+v.onlineInFlight-v.onlineAtReport, v.onlineInFlight)
 }
 
 func (v *View) reported(now time.Time) bool {
-	return !v.heard.IsZero() && now.Sub(v.heard) <= reportFor
+	return !v.reportedAt.IsZero() && now.Sub(v.reportedAt) <= maxReportAge
 }
 
 func (v *View) batch(now time.Time) int {
@@ -79,98 +79,100 @@
 	return max(v.Instance.Slots, 1)
 }
 
-// Free estimates the slots that nothing uses.
+// Free estimates the number of unused slots. It is negative if requests are queued.
 func (v *View) Free(now time.Time) int {
 	return v.slots() - v.load(now)
 }
 
-// Waiting estimates the online requests that wait for a slot there.
+// Waiting estimates the online requests that wait for a slot at the target.
 func (v *View) Waiting(now time.Time) int {
 	return max(0, v.load(now)-v.batch(now)-v.slots())
 }
 
-// tier groups targets by how an online request would get a slot there.
+// tier groups targets by how an online request gets a slot there. Lower tiers are better.
 type tier int
 
 const (
 	tierFree       tier = iota // a slot is free
-	tierDisplace               // batch work has to leave one first
-	tierUnreported             // its load is not known
-	tierDoubt                  // it may not answer at all
-	tierQueue                  // it would wait for another request to end
+	tierPreempt                // batch work must yield a slot first
+	tierUnreported             // the load is unknown
+	tierSuspect                // the target may not answer
+	tierQueue                  // the request waits until another one ends
 )
 
-// freeCounts is how much more a free slot counts than one that batch work holds,
-// among targets with a free slot. Reports are a little old, so two requests may come for
-// one free slot: where batch work can leave, the second waits only for that, elsewhere
-// for another request to end.
-const freeCounts = 2
+// freeSlotWeight is the weight of a free slot relative to a slot held by batch work, among
+// targets with a free slot. Reports are slightly out of date, so two requests may arrive
+// for one free slot. Where batch work can yield, the second waits only for that; elsewhere
+// it waits for another request to end.
+const freeSlotWeight = 2
 
-// place returns a target's tier and its weight among the others of that tier. In a
-// large fleet the loads of some targets only are reported to an entry. The others looked
-// empty and drew nearly all of its requests, which waited there, and the busy targets were
-// ejected as silent. They get a request when no reported target has room for it.
+// rank returns a target's tier and its weight within that tier.
 //
-// Weights are squares, so that the emptier target is clearly preferred and still
-// not chosen by all processes at once.
-func (v *View) place(now time.Time) (tier, float64) {
+// In a large fleet an entry gets reports of only some targets. Without a tier of their own,
+// targets without a report look empty and draw nearly all requests of the entry; the
+// requests wait there, and the busy targets are ejected as not responding. These targets
+// therefore get a request only if no reported target has room for it.
+//
+// Weights are squares, so that emptier targets are clearly preferred without all processes
+// choosing the same one.
+func (v *View) rank(now time.Time) (tier, float64) {
 	load, slots, batch := v.load(now), v.slots(), v.batch(now)
 	switch {
-	case v.doubtful(now) && load-batch < slots:
-		return tierDoubt, square(slots - load + batch)
+	case v.suspect(now) && load-batch < slots:
+		return tierSuspect, square(slots - load + batch)
 	case !v.reported(now) && load < slots:
-		return tierUnreported, v.weigh(now, square(slots-load))
+		return tierUnreported, v.connWeight(now, square(slots-load))
 	case load < slots:
-		return tierFree, v.weigh(now, square(freeCounts*(slots-load)+batch))
+		return tierFree, v.connWeight(now, square(freeSlotWeight*(slots-load)+batch))
 	case batch > 0 && load-batch < slots:
-		return tierDisplace, square(slots - load + batch)
+		return tierPreempt, square(slots - load + batch)
 	}
 	return tierQueue, 1 / square(1+load-slots)
 }
 
-// conns estimates the connections that this process keeps to a target.
+// conns estimates the connections between this process and a target.
 type conns struct {
-	busy int       // in use
-	open int       // in use or idle
-	used time.Time // when one was last taken or given back
+	inUse    int
+	open     int       // in use or idle
+	lastUsed time.Time // when a connection was last acquired or released
 }
 
-// Weights and times of connections.
+// Limits and weights for connections.
 const (
-	// idleFor is how long an idle connection stays open.
-	idleFor = 8 * time.Second
-	// idleWeight is how much a target with an idle connection is preferred among
-	// those that have a free slot. A new connection takes a round trip and holds a
-	// slot for a while.
-	idleWeight = 100
+	// idleConnTimeout is how long an idle connection stays open.
+	idleConnTimeout = 8 * time.Second
+	// idleConnWeight is the factor by which a target with an idle connection is preferred
+	// within its tier. A new connection takes a round trip and holds a slot during that
+	// time.
+	idleConnWeight = 100
 )
 
-func (c *conns) take(now time.Time) {
-	if now.Sub(c.used) > idleFor {
-		c.open = c.busy
+func (c *conns) acquire(now time.Time) {
+	if now.Sub(c.lastUsed) > idleConnTimeout {
+		c.open = c.inUse
 	}
-	c.busy++
-	c.open = max(c.open, c.busy)
-	c.used = now
+	c.inUse++
+	c.open = max(c.open, c.inUse)
+	c.lastUsed = now
 }
 
-func (c *conns) give(now time.Time, reusable bool) {
-	c.busy = max(c.busy-1, 0)
+func (c *conns) release(now time.Time, reusable bool) {
+	c.inUse = max(c.inUse-1, 0)
 	if !reusable {
 		c.open = max(c.open-1, 0)
 	}
-	c.used = now
+	c.lastUsed = now
 }
 
-// idle reports whether a connection is there that nothing uses.
+// idle reports whether there is an idle connection.
 func (c *conns) idle(now time.Time) bool {
-	return c.open > c.busy && now.Sub(c.used) <= idleFor
+	return c.open > c.inUse && now.Sub(c.lastUsed) <= idleConnTimeout
 }
 
-// weigh returns the weight of a target among others of its tier.
-func (v *View) weigh(now time.Time, w float64) float64 {
+// connWeight returns the weight w, raised if there is an idle connection to the target.
+func (v *View) connWeight(now time.Time, w float64) float64 {
 	if v.conns.idle(now) {
-		return idleWeight * w
+		return idleConnWeight * w
 	}
 	return w
 }
@@ -179,9 +181,9 @@
 	return float64(n) * float64(n)
 }
 
-func (v *View) usable(now time.Time, service string, tried map[string]bool, ejected bool) bool {
+func (v *View) eligible(now time.Time, service string, tried map[string]bool, includeEjected bool) bool {
 	if v.Instance.Service != service || v.Instance.Draining || v.Instance.Superseded || tried[v.Instance.ID] {
 		return false
 	}
-	return ejected || !now.Before(v.ejected)
+	return includeEjected || !now.Before(v.ejectedUntil)
 }
--- a/balance/wait.go
+++ b/balance/wait.go
@@ -2,59 +2,61 @@
 
 import "time"
 
-// Limits and weights of waiting.
+// Limits and weights for queueing and hold times.
 const (
-	// waitingMost is how many online requests may wait at the chosen target before more
-	// are turned away, as a part of its slots. A longer queue only holds answers that
-	// come much too late.
-	waitingMost = 0.5
-	// holdGuess is how long a request holds its slot, until some have ended.
-	holdGuess = 600 * time.Millisecond
-	// holdLearn is the weight of one more request against what was known.
-	holdLearn = 0.05
+	// maxWaitingShare is the number of online requests that may wait at the chosen target
+	// before more are rejected, as a share of its slots. A longer queue only holds
+	// requests that would be answered much too late.
+	maxWaitingShare = 0.5
+	// defaultHoldTime is the assumed time that a request holds its slot until one has
+	// been observed.
+	defaultHoldTime = 600 * time.Millisecond
+	// holdTimeSmoothing is the weight of a new observation in the moving average.
+	holdTimeSmoothing = 0.05
 )
 
-// NoteHold notes how long a request of a service held its slot.
+// NoteHold adds to a service's moving average the time that a request held its slot.
 func (t *Table) NoteHold(service string, took time.Duration) {
-	known := t.hold(service)
-	t.holds[service] = known + time.Duration(holdLearn*float64(took-known))
+	known := t.holdTime(service)
+	t.holdTimes[service] = known + time.Duration(holdTimeSmoothing*float64(took-known))
 }
 
-func (t *Table) hold(service string) time.Duration {
-	if d, ok := t.holds[service]; ok {
+func (t *Table) holdTime(service string) time.Duration {
+	if d, ok := t.holdTimes[service]; ok {
 		return d
 	}
-	return holdGuess
+	return defaultHoldTime
 }
 
-// wait estimates how long an online request waits at a target for a slot: the slots come
-// free one after the other, and those that wait already go first. What batch work holds
-// is had almost at once.
+// wait estimates how long an online request waits for a slot at a target. Slots become free
+// one after the other, and requests that already wait go first. A slot held by batch work
+// becomes free almost at once.
 func (t *Table) wait(now time.Time, v *View) time.Duration {
 	if v.load(now)-v.batch(now) < v.slots() {
 		return 0
 	}
-	return time.Duration(v.Waiting(now)+1) * t.hold(v.Instance.Service) / time.Duration(v.slots())
+	return time.Duration(v.Waiting(now)+1) * t.holdTime(v.Instance.Service) / time.Duration(v.slots())
 }
 
-// reserveBelow is how many free slots a target has at most when one is reserved before a
-// request goes there: between two reports many entries see the same slots come free, and
-// all but the first of their requests would wait.
-const reserveBelow = 4
+// reserveMaxFree is the largest number of free slots at which a slot is reserved before a
+// request is sent. Between two reports many entries see the same slots become free, and
+// without a reservation all but the first of their requests would wait.
+const reserveMaxFree = 4
 
-// WorthReserving reports whether the free slot of a choice may be gone when a request
-// comes there. Where its load is not reported it may always.
+// WorthReserving reports whether the target's free slot may be taken before the request
+// arrives. Without a current load report that is always possible.
 func (c Choice) WorthReserving() bool {
 	free := c.Instance.Slots - c.Load
-	return free > 0 && (free <= reserveBelow || !c.Reported())
+	return free > 0 && (free <= reserveMaxFree || !c.Reported())
 }
 
-// Useful reports whether waiting at the chosen target is worth while at all.
+// Useful reports whether the queue at the chosen target is short enough to wait there.
 func (c Choice) Useful() bool {
-	return float64(c.Waiting) < max(1, waitingMost*float64(c.Instance.Slots))
+	return float64(c.Waiting) < max(1, maxWaitingShare*float64(c.Instance.Slots))
 }
 
-// Within reports whether a slot is estimated to come free in a time.
+// Within reports whether the request may wait at the chosen target and a slot is estimated
+// to become free within d.
 func (c Choice) Within(d time.Duration) bool {
 	return c.Useful() && c.Wait <= d
 }
