--- a/targets/targets.go
+++ b/targets/targets.go
@@ -1,6 +1,6 @@
-// Package targets holds what the registry says of the targets: which instances
-// there are, what they serve and whether they are leaving. It is pure: records
-// and the time come in.
+// Package targets holds the registered targets: which instances there are, what they serve
+// and whether they are draining. It does no I/O and reads no clock: records and the time
+// come in.
 package targets
 
 import (
@@ -8,57 +8,57 @@
 	"time"
 )
 
-// Instance is a target as its registration names it. A target that starts again
-// may keep its id: it then knows nothing of its life before and counts anew.
+// Instance is a target as registered. A target that restarts may keep its ID; it then has
+// no state from before and its sequence numbers start again.
 type Instance struct {
 	ID         string
-	Born       int64 // Unix milliseconds of its start; 0 when not told
+	Born       int64 // start time in Unix milliseconds; 0 if unknown
 	Service    string
 	Addr       string // IP and port
 	DataCentre string
-	Slots      int // requests that run at the same time
+	Slots      int // maximum number of requests running at the same time
 	Draining   bool
-	// Superseded says that another instance has registered at the same address
-	// since. This one is gone, whatever its registration still says.
+	// Superseded says that another instance has registered at the same address since.
+	// This instance no longer runs, even if its registration still exists.
 	Superseded bool
-	Seq        int64 // of its registration; rises when more than a heartbeat changes
+	Seq        int64 // sequence number of the registration; rises when more than a heartbeat changes
 }
 
-// Life names one life of an instance: what was learned of an earlier one, its
-// connections, failures and drain, says nothing of this one.
+// Life identifies one incarnation of an instance. Connections, failures and draining of an
+// earlier incarnation do not apply to a later one.
 type Life struct {
 	ID   string
 	Born int64
 }
 
-// Life returns which life this is.
+// Life returns the incarnation of the instance.
 func (in Instance) Life() Life {
 	return Life{in.ID, in.Born}
 }
 
-// goneAfter is how long a registration that lapsed around an outage of the
-// registry may take to come back. The platform's operators name about two
-// seconds after the registry's return.
-const goneAfter = 2 * time.Second
+// outageGrace is how long an instance is kept whose registration expired around a registry
+// outage. Registrations of live targets return about two seconds after the registry does,
+// according to the platform's operators.
+const outageGrace = 2 * time.Second
 
-// Set is the known instances. It is not safe for concurrent use.
+// Set is the set of known instances. It is not safe for concurrent use.
 type Set struct {
-	holder  map[string]string // the instance that registered last, by address
-	byID    map[string]*Instance
-	lapsing map[string]time.Time // instances without an entry, gone at that time
-	outage  time.Time            // end of the last outage of the registry; zero for none
-	out     bool                 // the registry is away
+	addrOwner    map[string]string // ID of the instance that registered last, by address
+	byID         map[string]*Instance
+	expired      map[string]time.Time // instances kept without a registration, with the time of its end
+	outageEnd    time.Time            // end of the last registry outage; zero if there was none
+	registryDown bool
 }
 
 // NewSet returns an empty Set.
 func NewSet() *Set {
-	return &Set{holder: make(map[string]string), byID: make(map[string]*Instance), lapsing: make(map[string]time.Time)}
+	return &Set{addrOwner: make(map[string]string), byID: make(map[string]*Instance), expired: make(map[string]time.Time)}
 }
 
-// Put takes a registration or heartbeat. Draining is final for a life: an old
-// heartbeat that arrives late does not bring it back. A later life replaces all
-// that was known of the one before, whatever its numbers; a word of an earlier
-// life, read late or told by a peer, changes nothing.
+// Put adds a registration or heartbeat. Draining is final for an incarnation: an old
+// heartbeat that arrives late does not undo it. A later incarnation replaces the earlier
+// one whatever their sequence numbers are; a record of an earlier incarnation, read late
+// or sent by a peer, is ignored.
 func (s *Set) Put(in Instance) {
 	if old := s.byID[in.ID]; old != nil {
 		if in.Born < old.Born {
@@ -66,74 +66,75 @@
 		}
 		if in.Born == old.Born {
 			if in.Seq < old.Seq {
-				delete(s.lapsing, in.ID)
+				delete(s.expired, in.ID)
 				return
 			}
 			in.Draining = in.Draining || old.Draining
 		}
 	}
-	delete(s.lapsing, in.ID)
-	s.hold(in.Addr, in.ID)
+	delete(s.expired, in.ID)
+	s.assignAddr(in.Addr, in.ID)
 	s.byID[in.ID] = &in
 }
 
-// Renews reports whether a registration tells nothing but that its instance still
-// lives. All heartbeats of a calm fleet are such.
+// Renews reports whether a registration is a plain heartbeat, which changes nothing except
+// that its instance is still alive. Without changes in the fleet all registrations are
+// heartbeats.
 func (s *Set) Renews(in Instance) bool {
 	old := s.byID[in.ID]
-	if old == nil || in.Seq < old.Seq || s.holder[in.Addr] != in.ID {
+	if old == nil || in.Seq < old.Seq || s.addrOwner[in.Addr] != in.ID {
 		return false
 	}
-	if _, lapses := s.lapsing[in.ID]; lapses {
+	if _, lapses := s.expired[in.ID]; lapses {
 		return false
 	}
 	in.Seq = old.Seq
 	return in == *old
 }
 
-// hold gives an address to the instance that was heard of last. Registrations of
-// dead targets stay for seconds; without this, requests went to an address whose
-// new instance turned each of them away. A late word of a dead instance takes the
-// address only until the live one's next heartbeat.
-func (s *Set) hold(addr, id string) {
-	if before := s.byID[s.holder[addr]]; before != nil && before.ID != id {
-		before.Superseded = true
+// assignAddr assigns an address to the instance that registered last. Registrations of
+// failed targets stay for seconds, and requests sent for them would be rejected by the new
+// instance at the address. A late heartbeat of a failed instance takes the address only
+// until the next heartbeat of the live one.
+func (s *Set) assignAddr(addr, id string) {
+	if previous := s.byID[s.addrOwner[addr]]; previous != nil && previous.ID != id {
+		previous.Superseded = true
 	}
-	s.holder[addr] = id
+	s.addrOwner[addr] = id
 }
 
-// Supersede notes that another instance answered at an instance's address.
+// Supersede records that another instance answered at the address of this one.
 func (s *Set) Supersede(id string) {
 	if in := s.byID[id]; in != nil {
 		in.Superseded = true
 	}
 }
 
-// Drop takes the end of a registration. Around an outage of the registry it is
-// held back for a while: the entries of live targets lapse then and come back.
+// Drop records the end of a registration. Around a registry outage it keeps the instance
+// for outageGrace, because registrations of live targets expire then and return.
 func (s *Set) Drop(now time.Time, id string) {
 	if s.byID[id] == nil {
 		return
 	}
-	if !s.out && (s.outage.IsZero() || now.Sub(s.outage) > goneAfter) {
+	if !s.registryDown && (s.outageEnd.IsZero() || now.Sub(s.outageEnd) > outageGrace) {
 		s.remove(id)
 		return
 	}
-	if _, held := s.lapsing[id]; !held {
-		s.lapsing[id] = now
+	if _, kept := s.expired[id]; !kept {
+		s.expired[id] = now
 	}
 }
 
 func (s *Set) remove(id string) {
-	if in := s.byID[id]; in != nil && s.holder[in.Addr] == id {
-		delete(s.holder, in.Addr)
+	if in := s.byID[id]; in != nil && s.addrOwner[in.Addr] == id {
+		delete(s.addrOwner, in.Addr)
 	}
 	delete(s.byID, id)
-	delete(s.lapsing, id)
+	delete(s.expired, id)
 }
 
-// Replace takes the whole registry, the newest registrations last; what it does
-// not name is dropped.
+// Replace sets the whole contents of the registry, with the newest registrations last. It
+// drops the instances that are not in all.
 func (s *Set) Replace(now time.Time, all []Instance) {
 	named := make(map[string]bool)
 	for _, in := range all {
@@ -147,41 +148,42 @@
 	}
 }
 
-// Away notes that the registry does not answer.
+// Away records that the registry does not respond.
 func (s *Set) Away() {
-	s.out = true
+	s.registryDown = true
 }
 
-// Back notes that the registry answers again.
+// Back records that the registry responds again.
 func (s *Set) Back(now time.Time) {
-	if s.out {
-		s.out = false
-		s.outage = now
+	if s.registryDown {
+		s.registryDown = false
+		s.outageEnd = now
 	}
 }
 
-// Expire drops the instances that lapsed around an outage and did not come back.
+// Expire removes the instances whose registrations expired around an outage and did not
+// return. It returns their IDs, sorted.
 func (s *Set) Expire(now time.Time) []string {
-	if s.out || now.Sub(s.outage) <= goneAfter {
+	if s.registryDown || now.Sub(s.outageEnd) <= outageGrace {
 		return nil
 	}
-	var gone []string
-	for id := range s.lapsing {
-		gone = append(gone, id)
+	var removed []string
+	for id := range s.expired {
+		removed = append(removed, id)
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		s.remove(id)
 	}
-	slices.Sort(gone)
-	return gone
+	slices.Sort(removed)
+	return removed
 }
 
-// Lapsing returns how many instances have no entry and are held back.
+// Lapsing returns the number of instances that are kept without a registration.
 func (s *Set) Lapsing() int {
-	return len(s.lapsing)
+	return len(s.expired)
 }
 
-// All returns the instances, by id.
+// All returns the instances, sorted by ID.
 func (s *Set) All() []Instance {
 	out := make([]Instance, 0, len(s.byID))
 	for _, in := range s.byID {
@@ -196,7 +198,7 @@
 	return out
 }
 
-// Get returns an instance, nil when unknown.
+// Get returns an instance, or nil if it is unknown.
 func (s *Set) Get(id string) *Instance {
 	return s.byID[id]
 }
--- a/targets/targets_test.go
+++ b/targets/targets_test.go
@@ -13,65 +13,61 @@
 	return targets.Instance{ID: id, Addr: addr, Service: "s", Slots: 8, Seq: seq}
 }
 
-// Symptom: a leaving target gets requests again.
-// Sequence: it reports that it drains; an older heartbeat comes late.
-// Cause: the last record won, whatever its number.
-func TestAnOldHeartbeatDoesNotEndDraining(t *testing.T) {
+// Guards against new requests at a draining target: an older heartbeat that arrives after
+// the one that announced draining must not undo it.
+func TestLateHeartbeatDoesNotEndDraining(t *testing.T) {
 	s := targets.NewSet()
-	leaving := in("a", "1:1", 5)
-	leaving.Draining = true
-	s.Put(leaving)
+	draining := in("a", "1:1", 5)
+	draining.Draining = true
+	s.Put(draining)
 	s.Put(in("a", "1:1", 4))
 	s.Put(in("a", "1:1", 6))
 	if !s.Get("a").Draining {
-		t.Fatal("the target is ready again")
+		t.Fatal("the target no longer counts as draining")
 	}
 }
 
-// Symptom: after all hosts lost power each second request is turned away.
-// Sequence: targets start anew at their old addresses, while the registrations of
-// those that died stay for seconds.
-// Cause: both were taken for live.
-func TestTheLastHeardOfHasTheAddress(t *testing.T) {
+// Guards against sending every second request to a dead instance after all hosts lost
+// power: targets restart at their old addresses, and the registrations of the earlier
+// instances stay for seconds. Only the instance that registered last may count as live.
+func TestLastRegistrationOwnsTheAddress(t *testing.T) {
 	s := targets.NewSet()
 	s.Put(in("old", "1:1", 1))
 	s.Put(in("new", "1:1", 1))
 	if !s.Get("old").Superseded || s.Get("new").Superseded {
-		t.Fatalf("old %+v, new %+v", s.Get("old"), s.Get("new"))
+		t.Fatalf("want only old superseded: old %+v, new %+v", s.Get("old"), s.Get("new"))
 	}
 	s.Drop(start, "old")
 	if s.Get("new") == nil || s.Get("new").Superseded {
-		t.Fatal("the end of the old one touched the new one")
+		t.Fatal("dropping the old instance changed the new one")
 	}
 }
 
-// Symptom: live targets get nothing for the rest of the day, and items of jobs are
-// left lying although half of the slots are free.
-// Sequence: an old instance's heartbeat is written late, after the new one has
-// registered at its address, or even after the old one's entry was dropped.
-// Cause: who had the address last had it for good.
-func TestALateHeartbeatTakesNoAddressForGood(t *testing.T) {
+// Guards against live targets that get no requests for hours: a late heartbeat of an old
+// instance arrives after the new one has registered at its address, or even after the old
+// registration was dropped. It must not keep the address for good; items stayed undone
+// because of it while half of the slots were free.
+func TestLateHeartbeatTakesTheAddressOnlyBriefly(t *testing.T) {
 	s := targets.NewSet()
 	s.Put(in("old", "1:1", 1))
 	s.Put(in("new", "1:1", 1))
 	s.Drop(start, "old")
 	s.Put(in("old", "1:1", 2))
-	s.Put(in("new", "1:1", 1)) // its next heartbeat
+	s.Put(in("new", "1:1", 1)) // the next heartbeat of the new instance
 	if s.Get("new").Superseded || !s.Get("old").Superseded {
-		t.Fatalf("old %+v, new %+v", s.Get("old"), s.Get("new"))
+		t.Fatalf("want only old superseded: old %+v, new %+v", s.Get("old"), s.Get("new"))
 	}
 	s.Supersede("new") // another instance answered there once
 	s.Put(in("new", "1:1", 1))
 	if s.Get("new").Superseded {
-		t.Fatal("a heartbeat does not bring a live target back")
+		t.Fatal("a superseded live target stays superseded after its heartbeat")
 	}
 }
 
-// Symptom: no target is left when the registry returns from an outage.
-// Sequence: the registry is away; registrations lapse meanwhile; they are back
-// within two seconds of its return.
-// Cause: a lapse in an outage was taken for the target's end.
-func TestALapseAroundAnOutageIsHeldBack(t *testing.T) {
+// Guards against a fleet without targets after a registry outage: registrations expire
+// during the outage and return within two seconds of its end, so their expiry does not
+// mean that the targets are gone.
+func TestExpiryAroundAnOutageIsDelayed(t *testing.T) {
 	s := targets.NewSet()
 	s.Put(in("back", "1:1", 1))
 	s.Put(in("gone", "1:2", 1))
@@ -80,88 +76,85 @@
 	s.Drop(start.Add(100*time.Millisecond), "back")
 	s.Drop(start.Add(100*time.Millisecond), "gone")
 	if got := s.Expire(start.Add(time.Second)); len(got) != 0 || len(s.All()) != 2 {
-		t.Fatalf("dropped at once: %v", got)
+		t.Fatalf("expired %v before the end of the grace period", got)
 	}
 	s.Put(in("back", "1:1", 2))
 	if got := s.Expire(start.Add(2100 * time.Millisecond)); len(got) != 1 || got[0] != "gone" {
-		t.Fatalf("dropped %v, want gone", got)
+		t.Fatalf("expired %v, want gone", got)
 	}
 	if s.Get("back") == nil {
-		t.Fatal("a target that came back was dropped")
+		t.Fatal("a target whose registration returned was removed")
 	}
 }
 
-// Symptom: requests go to a target that left without a word.
-// Cause: its end was held back although the registry was well.
-func TestAnEndInCalmTimesCountsAtOnce(t *testing.T) {
+// Guards against requests to a target that stopped without draining: without a recent
+// registry outage the end of a registration counts at once.
+func TestDropIsImmediateWithoutAnOutage(t *testing.T) {
 	s := targets.NewSet()
 	s.Put(in("a", "1:1", 1))
 	s.Drop(start, "a")
 	if s.Get("a") != nil {
-		t.Fatal("still there")
+		t.Fatal("the target is still there after its registration ended")
 	}
 	s.Away()
 	s.Back(start)
 	s.Put(in("b", "1:1", 1))
 	s.Drop(start.Add(3*time.Second), "b")
 	if s.Get("b") != nil {
-		t.Fatal("still there long after the outage")
+		t.Fatal("the target is still there although the outage ended 3 s before")
 	}
 }
 
-// What a new reading of the registry does not name is gone.
-func TestReplaceDropsWhatIsNotNamed(t *testing.T) {
+// Replace drops instances that a new read of the registry no longer contains.
+func TestReplaceDropsMissingInstances(t *testing.T) {
 	s := targets.NewSet()
 	s.Put(in("a", "1:1", 1))
 	s.Replace(start, []targets.Instance{in("b", "1:2", 1)})
 	if all := s.All(); len(all) != 1 || all[0].ID != "b" {
-		t.Fatalf("have %v", all)
+		t.Fatalf("got %v, want only b", all)
 	}
 }
 
-func born(addr string, seq, at int64) targets.Instance {
+func incarnation(addr string, seq, at int64) targets.Instance {
 	i := in("a", addr, seq)
 	i.Born = at
 	return i
 }
 
-// Symptom: a target that has started again stays out of use for good.
-// Sequence: it drains or dies; it starts again under the id that it had, counts
-// its registrations from the start, and registers as ready.
-// Cause: a lower number was taken for an old heartbeat, and draining for final.
-func TestATargetThatStartedAgainIsUsed(t *testing.T) {
+// Guards against a restarted target that stays unused: it drains or fails, restarts under
+// the same ID with new sequence numbers and registers as ready. Its lower number is not an
+// old heartbeat, and draining ends with the earlier incarnation.
+func TestRestartedTargetIsUsed(t *testing.T) {
 	s := targets.NewSet()
-	leaving := born("1:1", 9, 1000)
-	leaving.Draining = true
-	s.Put(leaving)
+	draining := incarnation("1:1", 9, 1000)
+	draining.Draining = true
+	s.Put(draining)
 	s.Supersede("a")
-	s.Put(born("1:2", 1, 2000))
+	s.Put(incarnation("1:2", 1, 2000))
 	if got := s.Get("a"); got.Draining || got.Superseded || got.Addr != "1:2" || got.Seq != 1 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got %+v, want the new incarnation at 1:2, ready", got)
 	}
 }
 
-// Symptom: a target that has started again is taken for draining, or asked at its
-// old address.
-// Sequence: its later life is known; a peer, a copy or a late read of the registry
-// tells of the earlier one, with a higher number.
-// Cause: numbers of two lives were compared.
-func TestAnEarlierLifeDoesNotComeBack(t *testing.T) {
+// Guards against taking a restarted target for draining or sending to its old address: a
+// peer, a copy or a late read of the registry returns a record of the earlier incarnation
+// with a higher sequence number. Numbers of two incarnations must not be compared.
+func TestEarlierIncarnationIsIgnored(t *testing.T) {
 	s := targets.NewSet()
-	s.Put(born("1:2", 1, 2000))
-	old := born("1:1", 9, 1000)
+	s.Put(incarnation("1:2", 1, 2000))
+	old := incarnation("1:1", 9, 1000)
 	old.Draining = true
 	s.Put(old)
 	s.Replace(start, []targets.Instance{old})
 	if got := s.Get("a"); got == nil || got.Draining || got.Addr != "1:2" || got.Born != 2000 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got %+v, want the later incarnation at 1:2", got)
 	}
 }
 
-// Symptom: a twentieth of a small host's processor goes into heartbeats of 180 targets.
-// Cause: a heartbeat that says nothing new was handled like a change of the fleet. What
-// must never be taken for one: anything that a request's target depends on.
-func TestOnlyHeartbeatsRenew(t *testing.T) {
+// Guards against the cost of heartbeats: 180 targets took a twentieth of a small host's
+// CPU when each heartbeat was handled like a change of the fleet. Any change that the
+// choice of a target depends on must not count as a heartbeat.
+func TestOnlyPlainHeartbeatsRenew(t *testing.T) {
 	const id, addr = "a", "1:1"
 	known := in(id, addr, 5)
 	cases := map[string]struct {
@@ -175,16 +168,16 @@
 		"unknown":         {put: func() targets.Instance { return in("b", "2:2", 1) }},
 		"other address":   {put: func() targets.Instance { return in(id, "2:2", 6) }},
 		"started again":   {put: func() targets.Instance { x := in(id, addr, 6); x.Born = 9; return x }},
-		"begins to leave": {put: func() targets.Instance { x := in(id, addr, 6); x.Draining = true; return x }},
-		"is leaving already": {
+		"starts draining": {put: func() targets.Instance { x := in(id, addr, 6); x.Draining = true; return x }},
+		"is already draining": {
 			prepare: func(s *targets.Set) { x := in(id, addr, 5); x.Draining = true; s.Put(x) },
 			put:     func() targets.Instance { return in(id, addr, 6) },
 		},
-		"takes its address back": {
+		"address owned by another": {
 			prepare: func(s *targets.Set) { s.Put(in("b", addr, 1)) },
 			put:     func() targets.Instance { return in(id, addr, 6) },
 		},
-		"lapsed in an outage": {
+		"expired during an outage": {
 			prepare: func(s *targets.Set) { s.Away(); s.Drop(start, id) },
 			put:     func() targets.Instance { return in(id, addr, 6) },
 		},
@@ -196,7 +189,7 @@
 			c.prepare(s)
 		}
 		if got := s.Renews(c.put()); got != c.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: got %v", name, got)
 		}
 	}
 }
