--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds the routes and services that are in force. It is pure:
-// versions come in, decisions come out.
+// Package catalog holds the versioned configuration of routes, services and workspaces. It
+// does no I/O.
 package catalog
 
 import (
@@ -10,39 +10,39 @@
 	"time"
 )
 
-// Kind says what may be repeated on a route.
+// Kind says whether and how requests of a route may be repeated.
 type Kind int
 
-// The kinds.
+// Kinds of routes.
 const (
-	Idempotent    Kind = iota // may be executed more than once
-	NonIdempotent             // executed at most once for each request
-	Streaming                 // a stream of events; see Route.Resumable
+	Idempotent    Kind = iota // requests may be executed more than once
+	NonIdempotent             // each request is executed at most once
+	Streaming                 // responses are streams of events; see Route.Resumable
 	Batch                     // jobs of many requests that run later
 )
 
-// Share is a service's part of a route's requests.
+// Share is the part of a route's requests that a service gets.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route says which service serves the requests of a host and path prefix.
+// Route maps a host and path prefix to the services for its requests.
 type Route struct {
 	Name        string
 	Host        string
 	PathPrefix  string // begins and ends with a slash
 	Kind        Kind
 	Shares      []Share       // at least one
-	Timeout     time.Duration // longest time to keep a caller waiting
-	FirstWithin time.Duration // aim for an answer, or a stream's first event
-	GapWithin   time.Duration // aim for the pause between events
+	Timeout     time.Duration // longest time that a caller waits
+	FirstWithin time.Duration // objective for an answer or the first event of a stream
+	GapWithin   time.Duration // objective for the time between events
 	Priority    int           // 0 is the most urgent
-	Attempts    int           // targets that may run one request
-	Resumable   bool          // a stream may go on at another target
-	DueWithin   time.Duration // batch: results are due this long after the job came
-	KeepTrying  time.Duration // batch: items may be given up this long after
-	Public      bool          // needs no key
+	Attempts    int           // maximum number of targets that run a request
+	Resumable   bool          // a stream may continue at another target
+	DueWithin   time.Duration // batch: time from a job's arrival until its results are due
+	KeepTrying  time.Duration // batch: time from a job's arrival until its items may be given up
+	Public      bool          // requests need no key
 }
 
 // Repeatable reports whether a request may be executed more than once.
@@ -50,8 +50,8 @@
 	return r.Kind == Idempotent || r.Kind == Batch || (r.Kind == Streaming && r.Resumable)
 }
 
-// Service picks the service for a request: always the same one for an id, in
-// the proportions of the shares over many.
+// Service returns the service for a request. The same request ID always gets the same
+// service; over many IDs the services get requests in proportion to their shares.
 func (r *Route) Service(id string) string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
@@ -64,7 +64,7 @@
 		return r.Shares[0].Service
 	}
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(id)) // a hash's Write never fails
+	_, _ = h.Write([]byte(id)) // Write of a hash never fails
 	at := int(h.Sum32() % uint32(total))
 	for _, s := range r.Shares {
 		if at -= max(s.Weight, 0); at < 0 {
@@ -78,13 +78,13 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int // connections a target takes from all callers together
-	// ReserveFor is how long a target keeps a slot that was reserved; 0 where slots
-	// cannot be reserved.
+	MaxConns   int // maximum number of connections to a target from all callers together
+	// ReserveFor is how long a target holds a reserved slot; 0 if slots cannot be
+	// reserved.
 	ReserveFor time.Duration
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits for requests of callers.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -92,19 +92,19 @@
 	IdleTime    time.Duration
 }
 
-// Catalog is one version of all routes.
+// Catalog is one version of the configuration.
 type Catalog struct {
 	Version  int64
 	Limits   Limits
 	Services map[string]Service
-	hosts    map[string][]Route // by host, longest prefix first
+	hosts    map[string][]Route // by host in lower case, longest prefix first
 
-	byKey      map[KeyDigest]*Workspace // nil where requests need no key
-	workspaces map[string]*Workspace    // by name
-	limited    bool                     // one of them has a rate limit
+	byKey       map[KeyDigest]*Workspace // nil if requests need no key
+	workspaces  map[string]*Workspace    // by name
+	rateLimited bool                     // a workspace has a rate limit
 }
 
-// New returns a Catalog.
+// New returns a Catalog without workspaces.
 func New(version int64, limits Limits, services []Service, routes []Route) *Catalog {
 	c := &Catalog{Version: version, Limits: limits, Services: make(map[string]Service), hosts: make(map[string][]Route)}
 	for _, s := range services {
@@ -120,8 +120,8 @@
 	return c
 }
 
-// Match returns the route with the longest prefix of path on a host, nil when
-// there is none.
+// Match returns the route of a host with the longest prefix of path, or nil if there is
+// none.
 func (c *Catalog) Match(host, path string) *Route {
 	rs := c.routes(host)
 	for i := range rs {
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// routes returns the routes of a host, which may be named with its port.
+// routes returns the routes of a host, given with or without a port.
 func (c *Catalog) routes(host string) []Route {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:at]
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -14,17 +14,16 @@
 	return catalog.Route{Name: host + prefix, Host: host, PathPrefix: prefix, Shares: []catalog.Share{{Service: "s", Weight: 1}}}
 }
 
-// Symptom: a node serves a dropped route again.
-// Sequence: versions come late, twice and out of order, from store and peers.
-// Cause: the last to come was put in force.
-func TestNeverBack(t *testing.T) {
+// Guards against a node that serves a dropped route again: versions arrive late, twice and
+// out of order, from the store and from peers.
+func TestVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var cur catalog.Current
 		highest := int64(-1)
 		for _, v := range rapid.SliceOfN(rapid.Int64Range(0, 20), 1, 50).Draw(rt, "versions") {
 			newer := cur.Offer(catalog.New(v, catalog.Limits{}, nil, nil))
 			if newer != (v > highest) {
-				rt.Fatalf("version %d after %d: in force %v", v, highest, newer)
+				rt.Fatalf("version %d after %d: put in force: %v", v, highest, newer)
 			}
 			highest = max(highest, v)
 			if got := cur.Get().Version; got != highest {
@@ -34,7 +33,7 @@
 	})
 }
 
-func TestLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchesLongestPrefixOfHost(t *testing.T) {
 	c := catalog.New(1, catalog.Limits{}, nil, []catalog.Route{route("a.example", "/x/"), route("a.example", "/x/y/"), route("b.example", "/")})
 	for _, tc := range []struct{ host, path, want string }{
 		{"a.example", "/x/1", "a.example/x/"},
@@ -55,8 +54,8 @@
 	}
 }
 
-// Each request id always meets the same service, in the proportions asked for.
-func TestSharesAreKept(t *testing.T) {
+// A request ID always gets the same service, and the services get their shares.
+func TestServiceIsStableAndFollowsShares(t *testing.T) {
 	r := catalog.Route{Shares: []catalog.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
 	count := make(map[string]int)
 	const ids = 5000
@@ -64,19 +63,19 @@
 		id := fmt.Sprint("request", i)
 		s := r.Service(id)
 		if s != r.Service(id) {
-			t.Fatal("two services for one id")
+			t.Fatal("one request ID got two services")
 		}
 		count[s]++
 	}
 	if b := count["b"]; count["c"] > 0 || b < ids/20 || b > ids*3/20 {
-		t.Fatalf("shares %v", count)
+		t.Fatalf("requests by service %v, want about 90 %% a, 10 %% b, no c", count)
 	}
 	if got := (&catalog.Route{Shares: []catalog.Share{{Service: "z"}}}).Service("x"); got != "z" {
-		t.Fatalf("no weight: %q", got)
+		t.Fatalf("single share without weight: got service %q, want z", got)
 	}
 }
 
-func TestOnlyIdempotentAndResumableRequestsAreRepeated(t *testing.T) {
+func TestOnlyIdempotentAndResumableRoutesAreRepeatable(t *testing.T) {
 	var repeatable []string
 	for _, r := range []catalog.Route{
 		{Name: "idempotent", Kind: catalog.Idempotent}, {Name: "other", Kind: catalog.NonIdempotent},
@@ -87,6 +86,6 @@
 		}
 	}
 	if !slices.Equal(repeatable, []string{"idempotent", "resumable"}) {
-		t.Fatalf("repeatable: %v", repeatable)
+		t.Fatalf("repeatable: got %v, want idempotent and resumable", repeatable)
 	}
 }
--- a/catalog/current.go
+++ b/catalog/current.go
@@ -2,17 +2,20 @@
 
 import "sync/atomic"
 
-// Current holds the version in force. It only ever moves to a higher one: a
-// late record, a stale peer or a restarted follower cannot take it back.
+// Current holds the catalog version in force. The version only increases: a late record, a
+// stale peer or a restarted follower cannot set an older one. It is safe for concurrent
+// use.
 type Current struct {
 	cur atomic.Pointer[Catalog]
 }
 
+// Get returns the catalog in force, or nil if there is none yet.
 // Get returns the catalog in force, nil while none is known.
 func (c *Current) Get() *Catalog {
 	return c.cur.Load()
 }
 
+// Offer puts a catalog in force if its version is higher. It reports whether it did.
 // Offer puts a catalog in force when it is newer. It reports whether it did.
 func (c *Current) Offer(next *Catalog) bool {
 	for {
--- a/catalog/workspace.go
+++ b/catalog/workspace.go
@@ -2,7 +2,7 @@
 
 import "crypto/sha256"
 
-// KeyDigest stands for a caller's key: keys themselves are not kept.
+// KeyDigest is the SHA-256 digest of a caller's key. The keys themselves are not stored.
 type KeyDigest [sha256.Size]byte
 
 // DigestKey returns the digest of a key.
@@ -10,15 +10,16 @@
 	return sha256.Sum256([]byte(key))
 }
 
-// Workspace is a group of callers that share keys, a rank and a rate limit.
+// Workspace is a group of callers that share keys, a priority and a rate limit.
 type Workspace struct {
 	Name string
 	Keys []KeyDigest
-	// Rank replaces the priority of the routes that its callers use; nil leaves it.
+	// Rank overrides the priority of the routes that its callers use, unless it is nil.
 	Rank *int
-	// Rate is how many requests a second it may have over all hosts, 0 for no limit.
+	// Rate is the limit in requests per second over all hosts, or 0 for no limit.
 	Rate float64
-	// Burst is how many requests it may have at once on top of Rate after a rest.
+	// Burst is the number of requests above Rate that are allowed at once after a time
+	// of low load.
 	Burst float64
 }
 
@@ -27,13 +28,13 @@
 	return w.Rate > 0
 }
 
-// WithWorkspaces adds the workspaces and returns the catalog. From then on requests need
-// a key. It is called before the catalog is put in force.
+// WithWorkspaces adds workspaces to the catalog and returns it. From then on requests need
+// a key. It must be called before the catalog is put in force.
 func (c *Catalog) WithWorkspaces(all []Workspace) *Catalog {
 	c.byKey = make(map[KeyDigest]*Workspace)
 	c.workspaces = make(map[string]*Workspace, len(all))
 	for i := range all {
-		c.limited = c.limited || all[i].Limited()
+		c.rateLimited = c.rateLimited || all[i].Limited()
 		c.workspaces[all[i].Name] = &all[i]
 		for _, k := range all[i].Keys {
 			c.byKey[k] = &all[i]
@@ -42,27 +43,27 @@
 	return c
 }
 
-// Keyed reports whether requests need a key, but for those of public routes.
+// Keyed reports whether requests need a key, except on public routes.
 func (c *Catalog) Keyed() bool {
 	return c.byKey != nil
 }
 
 // Limited reports whether any workspace has a rate limit.
 func (c *Catalog) Limited() bool {
-	return c.limited
+	return c.rateLimited
 }
 
-// KeyHolder returns the workspace that a key belongs to, nil when there is none.
+// KeyHolder returns the workspace that a key belongs to, or nil if there is none.
 func (c *Catalog) KeyHolder(key KeyDigest) *Workspace {
 	return c.byKey[key]
 }
 
-// Workspace returns a workspace by its name, nil when there is none.
+// Workspace returns a workspace by name, or nil if there is none.
 func (c *Catalog) Workspace(name string) *Workspace {
 	return c.workspaces[name]
 }
 
-// PublicJobs reports whether jobs are taken in on a host from callers without a key.
+// PublicJobs reports whether a host accepts jobs from callers without a key.
 func (c *Catalog) PublicJobs(host string) bool {
 	rs := c.routes(host)
 	for i := range rs {
