--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -1,10 +1,9 @@
-// Package schedule orders the open items of batch jobs. It is pure.
+// Package schedule orders the open items of batch jobs. It does no I/O and reads no clock.
 //
-// When more is due than can be done, running the earliest due first makes
-// everything late: each item waits until its time is nearly over, and the first
-// peak of online work that takes its seat costs it the rest. So items that can
-// still be done in time go first, the earliest due first, and those that are late
-// anyway get what is left.
+// Under overload, earliest-deadline-first order makes nearly all items late: each item
+// starts just before it is due, and the first peak of online work that takes its seat
+// makes it miss its due time. Items that can still finish in time therefore go first,
+// the earliest due first, and late items get the seats that are left.
 package schedule
 
 import (
@@ -12,40 +11,40 @@
 	"time"
 )
 
-// Item is what decides the place of an open item.
+// Item is the state of an open item that its order depends on.
 type Item struct {
 	Due   time.Time
-	Left  time.Duration // it still has to run, as estimated
+	Left  time.Duration // estimated time that it still has to run
 	Begun bool
 }
 
-// margin is what an item that has not begun needs beyond its own time: items that run
-// have to leave in peaks of online work, which last seconds.
-const margin = 2 * time.Second
+// notStartedMargin is the extra time that an item needs if it has not started. Running
+// items yield their seats during peaks of online work, which last seconds.
+const notStartedMargin = 2 * time.Second
 
-// yieldLast is added to the due time of late items where seats are asked back:
-// the latest due give theirs up first.
-const yieldLast = time.Hour
+// lateYieldOffset is added to the due time of late items when seats are asked back. The
+// items with the latest due times yield first.
+const lateYieldOffset = time.Hour
 
-// Feasible reports whether an item can still be done in time.
+// Feasible reports whether an item can still finish in time.
 func (i Item) Feasible(now time.Time) bool {
 	need := i.Left
 	if !i.Begun {
-		need += margin
+		need += notStartedMargin
 	}
 	return !now.Add(need).After(i.Due)
 }
 
-// YieldRank returns the due time by which an agent decides whose seat to ask
-// back.
+// YieldRank returns the due time that an agent uses to decide whose seat it asks back. The
+// item with the latest one yields first.
 func (i Item) YieldRank(now time.Time) time.Time {
 	if i.Feasible(now) {
 		return i.Due
 	}
-	return i.Due.Add(yieldLast)
+	return i.Due.Add(lateYieldOffset)
 }
 
-// Compare orders items: negative when a goes first.
+// Compare orders items. It returns a negative number if a goes first.
 func Compare(now time.Time, a, b Item) int {
 	fa, fb := a.Feasible(now), b.Feasible(now)
 	if fa != fb {
@@ -55,49 +54,50 @@
 		return 1
 	}
 	if !fa {
-		// Late anyway: what is nearest to its end frees its seat soonest.
+		// Both are late: the one with the least time left frees its seat first.
 		return cmp.Compare(a.Left, b.Left)
 	}
 	return a.Due.Compare(b.Due)
 }
 
-// Pace learns how long items run. It is not safe for concurrent use.
+// Pace estimates how long items run, with moving averages. It is not safe for concurrent
+// use.
 type Pace struct {
-	events float64       // of a whole item
-	each   time.Duration // for one event
+	eventsPerItem float64
+	timePerEvent  time.Duration
 }
 
-// First guesses, until items have run: an item of 200 events, each of which takes
-// seven steps of an engine.
+// Initial estimates and weights. The estimates assume an item of 200 events, each of which
+// takes seven steps of an engine.
 const (
-	guessEvents = 200
-	guessEach   = 22 * time.Millisecond
-	// learn is the weight of a new value against what was known.
-	learn = 0.1
-	// leastRan is how long a run has to be to tell anything of its pace.
-	leastRan = 200 * time.Millisecond
+	initialEventsPerItem = 200
+	initialTimePerEvent  = 22 * time.Millisecond
+	// smoothing is the weight of a new observation in the moving averages.
+	smoothing = 0.1
+	// minRunTime is the shortest run that gives a usable time per event.
+	minRunTime = 200 * time.Millisecond
 )
 
-// NewPace returns a Pace with first guesses.
+// NewPace returns a Pace with initial estimates.
 func NewPace() *Pace {
-	return &Pace{events: guessEvents, each: guessEach}
+	return &Pace{eventsPerItem: initialEventsPerItem, timePerEvent: initialTimePerEvent}
 }
 
-// Whole takes the events of a finished item.
+// Whole adds the number of events of a finished item.
 func (p *Pace) Whole(events uint64) {
-	p.events += learn * (float64(events) - p.events)
+	p.eventsPerItem += smoothing * (float64(events) - p.eventsPerItem)
 }
 
-// Ran takes a run of some events.
+// Ran adds the time that a run took for some events. It ignores short runs.
 func (p *Pace) Ran(events uint64, took time.Duration) {
-	if events == 0 || took < leastRan {
+	if events == 0 || took < minRunTime {
 		return
 	}
-	p.each += time.Duration(learn * float64(took/time.Duration(events)-p.each))
+	p.timePerEvent += time.Duration(smoothing * float64(took/time.Duration(events)-p.timePerEvent))
 }
 
-// Left estimates how long an item still has to run after an event.
-func (p *Pace) Left(last uint64) time.Duration {
-	left := max(p.events-float64(last), 1)
-	return time.Duration(left * float64(p.each))
+// Left estimates how long an item still has to run when the given number of events is done.
+func (p *Pace) Left(done uint64) time.Duration {
+	left := max(p.eventsPerItem-float64(done), 1)
+	return time.Duration(left * float64(p.timePerEvent))
 }
--- a/schedule/schedule_test.go
+++ b/schedule/schedule_test.go
@@ -10,20 +10,20 @@
 
 var start = time.Unix(1000, 0)
 
-// item is one item of a replayed load.
+// item is an item of a simulated load.
 type item struct {
-	came, due time.Time
-	left      time.Duration
-	begun     bool
+	arrived, due time.Time
+	left         time.Duration
+	begun        bool
 }
 
-// replay runs items in seats that a peak takes away in 2.4 of each 6 seconds, in
-// the order that less gives, and returns how many were done in time.
+// replay runs items in the order that less gives. A peak takes away two thirds of the seats
+// for 2.4 of every 6 seconds. It returns how many items finish in time.
 func replay(items []item, seats int, less func(now time.Time, a, b item) int) (inTime int) {
 	const step = 100 * time.Millisecond
 	var open []item
 	for now := start; len(items)+len(open) > 0; now = now.Add(step) {
-		for len(items) > 0 && !items[0].came.After(now) {
+		for len(items) > 0 && !items[0].arrived.After(now) {
 			open = append(open, items[0])
 			items = items[1:]
 		}
@@ -49,72 +49,71 @@
 	return inTime
 }
 
-// A minute and a half of overload: items of five seconds, due after 18, come a
-// third faster than the seats left by online work can run them.
-//
-// Symptom: 385 of 1,000 items done in time; in the order of this package 821.
-// Sequence: the backlog grows to 13 seconds; each item is started just in time,
-// and the next peak takes the rest of its time away.
-// Cause: the earliest due first, also when it cannot be done in time any more.
+// Guards against an order that makes nearly all items late under overload. The replay has
+// 85 s of overload: items of five seconds, due 18 s after their arrival, arrive a third
+// faster than the seats left by online work can run them. The backlog grows to 13 s; with
+// the earliest due first, also if it can no longer finish in time, each item starts just
+// in time and the next peak makes it late. Then 385 of 1,000 items finish in time, and in
+// the order of this package 821.
 func TestOverloadDoesNotMakeAllItemsLate(t *testing.T) {
 	const items = 1000
 	load := func() []item {
 		var out []item
 		for i := range items {
-			came := start.Add(time.Duration(i) * 85 * time.Millisecond)
-			out = append(out, item{came: came, due: came.Add(18 * time.Second), left: 5 * time.Second})
+			arrived := start.Add(time.Duration(i) * 85 * time.Millisecond)
+			out = append(out, item{arrived: arrived, due: arrived.Add(18 * time.Second), left: 5 * time.Second})
 		}
 		return out
 	}
-	const seats = 58 // 42 at the mean, 59 needed
-	naive := replay(load(), seats, func(_ time.Time, a, b item) int { return a.due.Compare(b.due) })
-	ours := replay(load(), seats, func(now time.Time, a, b item) int {
+	const seats = 58 // 42 on average, 59 needed
+	earliestDue := replay(load(), seats, func(_ time.Time, a, b item) int { return a.due.Compare(b.due) })
+	ordered := replay(load(), seats, func(now time.Time, a, b item) int {
 		return schedule.Compare(now, schedule.Item{Due: a.due, Left: a.left, Begun: a.begun}, schedule.Item{Due: b.due, Left: b.left, Begun: b.begun})
 	})
-	t.Logf("of %d items in time: earliest due first %d, ours %d", items, naive, ours)
-	if ours < 600 || ours < 2*naive {
-		t.Fatalf("of %d items in time: earliest due first %d, ours %d", items, naive, ours)
+	t.Logf("of %d items in time: earliest due first %d, this package %d", items, earliestDue, ordered)
+	if ordered < 600 || ordered < 2*earliestDue {
+		t.Fatalf("of %d items in time: earliest due first %d, this package %d", items, earliestDue, ordered)
 	}
 }
 
-// Where there is room for all, no order may cost an item its time.
-func TestEnoughRoomServesAllInTime(t *testing.T) {
+// With enough seats all items must finish in time.
+func TestAllItemsInTimeWithEnoughSeats(t *testing.T) {
 	var items []item
 	for i := range 200 {
-		came := start.Add(time.Duration(i) * 200 * time.Millisecond)
-		items = append(items, item{came: came, due: came.Add(18 * time.Second), left: 5 * time.Second})
+		arrived := start.Add(time.Duration(i) * 200 * time.Millisecond)
+		items = append(items, item{arrived: arrived, due: arrived.Add(18 * time.Second), left: 5 * time.Second})
 	}
 	got := replay(items, 45, func(now time.Time, a, b item) int {
 		return schedule.Compare(now, schedule.Item{Due: a.due, Left: a.left, Begun: a.begun}, schedule.Item{Due: b.due, Left: b.left, Begun: b.begun})
 	})
 	if got != 200 {
-		t.Fatalf("%d of 200 in time", got)
+		t.Fatalf("%d of 200 items finished in time", got)
 	}
 }
 
-// Late items give their seats up before those that can still be in time.
+// Late items yield their seats before those that can still finish in time.
 func TestLateItemsYieldFirst(t *testing.T) {
 	late := schedule.Item{Due: start.Add(time.Second), Left: 5 * time.Second}
-	good := schedule.Item{Due: start.Add(10 * time.Second), Left: 5 * time.Second}
-	if !late.YieldRank(start).After(good.YieldRank(start)) {
-		t.Fatal("the late item keeps its seat")
+	inTime := schedule.Item{Due: start.Add(10 * time.Second), Left: 5 * time.Second}
+	if !late.YieldRank(start).After(inTime.YieldRank(start)) {
+		t.Fatal("the late item yields after the one in time")
 	}
-	if schedule.Compare(start, good, late) >= 0 {
-		t.Fatal("the late item goes first")
+	if schedule.Compare(start, inTime, late) >= 0 {
+		t.Fatal("the late item is ordered before the one in time")
 	}
 }
 
-// Estimates follow what is seen.
-func TestPaceFollowsRuns(t *testing.T) {
+// The estimates follow the observed runs.
+func TestEstimatesFollowObservedRuns(t *testing.T) {
 	p := schedule.NewPace()
 	for range 100 {
 		p.Ran(50, 50*40*time.Millisecond)
 		p.Whole(300)
 	}
 	if left := p.Left(100); left < 7*time.Second || left > 9*time.Second {
-		t.Fatalf("200 events at 40 ms are estimated at %s", left)
+		t.Fatalf("200 events of 40 ms each: estimated %s, want 7 to 9 s", left)
 	}
 	if p.Left(1000) <= 0 {
-		t.Fatal("an item beyond the usual length has no time left")
+		t.Fatal("no time left for an item with more events than usual")
 	}
 }
