--- a/schedule/schedule_test.go
+++ b/schedule/schedule_test.go
@@ -13,8 +13,8 @@
 // item is an item of a simulated load.
 type item struct {
 	arrived, due time.Time
-	left         time.Duration
-	begun        bool
+	remaining    time.Duration
+	started      bool
 }
 
 // replay runs items in the order that less gives. A peak takes away two thirds of the seats
@@ -33,11 +33,11 @@
 		}
 		slices.SortStableFunc(open, func(a, b item) int { return less(now, a, b) })
 		for i := range open[:min(free, len(open))] {
-			open[i].begun = true
-			open[i].left -= step
+			open[i].started = true
+			open[i].remaining -= step
 		}
 		open = slices.DeleteFunc(open, func(it item) bool {
-			if it.left > 0 {
+			if it.remaining > 0 {
 				return false
 			}
 			if !now.After(it.due) {
@@ -61,14 +61,14 @@
 		var out []item
 		for i := range items {
 			arrived := start.Add(time.Duration(i) * 85 * time.Millisecond)
-			out = append(out, item{arrived: arrived, due: arrived.Add(18 * time.Second), left: 5 * time.Second})
+			out = append(out, item{arrived: arrived, due: arrived.Add(18 * time.Second), remaining: 5 * time.Second})
 		}
 		return out
 	}
 	const seats = 58 // 42 on average, 59 needed
 	earliestDue := replay(load(), seats, func(_ time.Time, a, b item) int { return a.due.Compare(b.due) })
 	ordered := replay(load(), seats, func(now time.Time, a, b item) int {
-		return schedule.Compare(now, schedule.Item{Due: a.due, Left: a.left, Begun: a.begun}, schedule.Item{Due: b.due, Left: b.left, Begun: b.begun})
+		return schedule.Compare(now, schedule.Item{Due: a.due, Left: a.remaining, Begun: a.started}, schedule.Item{Due: b.due, Left: b.remaining, Begun: b.started})
 	})
 	t.Logf("of %d items in time: earliest due first %d, this package %d", items, earliestDue, ordered)
 	if ordered < 600 || ordered < 2*earliestDue {
@@ -81,10 +81,10 @@
 	var items []item
 	for i := range 200 {
 		arrived := start.Add(time.Duration(i) * 200 * time.Millisecond)
-		items = append(items, item{arrived: arrived, due: arrived.Add(18 * time.Second), left: 5 * time.Second})
+		items = append(items, item{arrived: arrived, due: arrived.Add(18 * time.Second), remaining: 5 * time.Second})
 	}
 	got := replay(items, 45, func(now time.Time, a, b item) int {
-		return schedule.Compare(now, schedule.Item{Due: a.due, Left: a.left, Begun: a.begun}, schedule.Item{Due: b.due, Left: b.left, Begun: b.begun})
+		return schedule.Compare(now, schedule.Item{Due: a.due, Left: a.remaining, Begun: a.started}, schedule.Item{Due: b.due, Left: b.remaining, Begun: b.started})
 	})
 	if got != 200 {
 		t.Fatalf("%d of 200 items finished in time", got)
--- a/seats/agent.go
+++ b/seats/agent.go
@@ -15,70 +15,70 @@
 	"pumiceford/wire"
 )
 
-// Gauge asks the target beside this agent for its load.
+// Gauge returns the load of the target on this agent's host.
 type Gauge interface {
 	Load(ctx context.Context) (Load, error)
 }
 
 // Intervals of an agent.
 const (
-	// pollBusy is how often the target is asked while batch work runs there or
-	// an entry watches: a waiting online request is seen within it.
-	pollBusy = 25 * time.Millisecond
-	// pollIdle is how often while nobody asks.
-	pollIdle = 250 * time.Millisecond
-	// tellEvery bounds how often a watcher is told of a changed load. Where a slot may
-	// be gone meanwhile, one is reserved at the target itself.
-	tellEvery = 50 * time.Millisecond
-	// tellAgain is when it is told an unchanged load, so that silence means that
-	// the agent is gone.
-	tellAgain   = 250 * time.Millisecond
-	pollTimeout = 200 * time.Millisecond
-	// staleAfter is how long the target may go without answering before no more
-	// seats are granted and entries are told that it is silent. It answers its own
-	// host within some milliseconds, however busy it is.
-	staleAfter = 300 * time.Millisecond
-	// witnessFor is how long an entry's word of a failure counts.
-	witnessFor = 2 * time.Second
+	// busyPollInterval is the polling interval of the target while batch work runs there
+	// or an entry watches. A waiting online request is noticed within it.
+	busyPollInterval = 25 * time.Millisecond
+	// idlePollInterval is the polling interval without any seats and watches.
+	idlePollInterval = 250 * time.Millisecond
+	// minLoadInterval is the shortest interval between two loads sent to a watcher. The
+	// gap is covered by reserving a slot at the target itself where it may be taken.
+	minLoadInterval = 50 * time.Millisecond
+	// loadHeartbeat is the interval at which an unchanged load is sent, so that a missing
+	// report means that the agent has failed.
+	loadHeartbeat = 250 * time.Millisecond
+	pollTimeout   = 200 * time.Millisecond
+	// silentAfter is how long the target may leave polls unanswered before the agent
+	// grants no more seats and reports it as silent. A target answers its own host within
+	// a few milliseconds under any load.
+	silentAfter = 300 * time.Millisecond
+	// failureReportTTL is how long an entry's failure report counts.
+	failureReportTTL = 2 * time.Second
 )
 
-// AgentConfig says what an Agent works on.
+// AgentConfig configures an Agent.
 type AgentConfig struct {
-	Name  string // of this agent's host
+	Name  string // name of this agent's host
 	Gauge Gauge
 	Log   logging.Logger
-	// Metrics counts seats granted, refused and asked back.
+	// Metrics counts the seats granted, refused and asked back.
 	Metrics *metrics.Set
 }
 
-// Agent grants the seats of the target beside it and tells its load.
+// Agent grants the seats of the target on its host and reports its load.
 type Agent struct {
 	cfg AgentConfig
 
-	mu      sync.Mutex
-	arbiter *Arbiter
-	asked   map[uint64]chan struct{} // closed to ask for the seat back
-	heard   time.Time                // last answer of the target
-	unheard time.Time                // last time that it did not answer
-	silent  bool                     // it has not answered for staleAfter
-	room    int                      // seats that could be granted then
-	users   int                      // open watches and seats
-	changed chan struct{}            // closed and replaced when the load changes
-	wanted  chan struct{}            // the first user came
-	// witnesses are the entries that told of failures, with the moment of the last.
-	witnesses map[string]time.Time
-	leaving   bool
+	mu            sync.Mutex
+	arbiter       *Arbiter
+	yieldRequests map[uint64]chan struct{} // by seat ID; closed to ask for the seat back
+	lastAnswer    time.Time                // time of the target's last answer
+	lastNoAnswer  time.Time                // time of the last unanswered poll
+	silent        bool                     // polls have been unanswered for silentAfter
+	freeSeats     int                      // seats that could be granted at lastAnswer
+	users         int                      // open watches and seats
+	changed       chan struct{}            // closed and replaced when the load changes
+	pollNow       chan struct{}            // receives a value when users becomes 1
+	// failureReports is the time of the last failure report, by entry.
+	failureReports map[string]time.Time
+	draining       bool
 }
 
-// reserveShare is the part of the agents that keep a slot free of batch work.
-const reserveShare = 0.6
+// reservingShare is the share of the agents that keep a slot free of batch work.
+const reservingShare = 0.6
 
-// Reserve returns how many slots the agent of a host keeps free of batch work.
-// An online request takes one of these instead of cutting off an item; it can go
-// to any target, so some targets with a free slot serve the whole fleet.
+// Reserve returns the number of slots that the agent of a host keeps free of batch work. An
+// online request takes such a slot instead of cutting off an item. Online requests can go
+// to any target, so it is enough if some targets have a free slot.
 func Reserve(host string) int {
 	const parts = 1000
-	if float64(xxhash.Sum64String(host)%parts) < reserveShare*parts {
+	if float64(xxhash.Sum64String(host)%parts) < reservingShare*parts {
 		return 1
 	}
 	return 0
@@ -88,142 +88,148 @@
 func NewAgent(cfg AgentConfig) *Agent {
 	return &Agent{
 		cfg: cfg, arbiter: NewArbiter(0, Reserve(cfg.Name)),
-		asked:   make(map[uint64]chan struct{}),
-		changed: make(chan struct{}),
-		wanted:  make(chan struct{}, 1),
+		yieldRequests: make(map[uint64]chan struct{}),
+		changed:       make(chan struct{}),
+		pollNow:       make(chan struct{}, 1),
 
-		witnesses: make(map[string]time.Time),
+		failureReports: make(map[string]time.Time),
 	}
 }
 
 // Run polls the target until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	log := a.cfg.Log
-	lost := false
+	unanswered := false
 	for ctx.Err() == nil {
-		one, cancel := context.WithTimeout(ctx, pollTimeout)
-		load, err := a.cfg.Gauge.Load(one)
+		pollCtx, cancel := context.WithTimeout(ctx, pollTimeout)
+		load, err := a.cfg.Gauge.Load(pollCtx)
 		cancel()
 		switch {
-		case err != nil && !lost && ctx.Err() == nil:
+		case err != nil && !unanswered && ctx.Err() == nil:
 			log.Warn("target does not answer", logging.F("error", err.Error()))
-			lost = true
-		case err == nil && lost:
+			unanswered = true
+		case err == nil && unanswered:
 			log.Info("target answers again", logging.F("active", load.Active))
-			lost = false
+			unanswered = false
 		}
 		if err == nil {
-			a.report(load)
+			a.recordLoad(load)
 		} else {
-			a.noAnswer()
+			a.recordNoAnswer()
 		}
-		a.rest(ctx)
+		a.waitForPoll(ctx)
 	}
 }
 
-// rest waits until the target is to be asked again: at once when somebody starts
-// to care.
-func (a *Agent) rest(ctx context.Context) {
-	_ = wait.ForChange(ctx, a.wanted, a.pause()) // whatever ended it, the target is asked
+// waitForPoll waits until the next poll is due: after the polling interval, or at once when
+// the first seat or watch begins.
+func (a *Agent) waitForPoll(ctx context.Context) {
+	_ = wait.ForChange(ctx, a.pollNow, a.pollInterval()) // the poll follows whatever ended the wait
 }
 
-// enterLocked counts a watch or seat. a.mu is held.
-func (a *Agent) enterLocked() {
+// addUserLocked counts a watch or seat, and requests a poll if it is the first. a.mu is held.
+func (a *Agent) addUserLocked() {
 	a.users++
 	if a.users > 1 {
 		return
 	}
 	select {
-	case a.wanted <- struct{}{}:
+	case a.pollNow <- struct{}{}:
 	default:
 	}
 }
 
-func (a *Agent) pause() time.Duration {
+func (a *Agent) pollInterval() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.users > 0 {
-		return pollBusy
+		return busyPollInterval
 	}
-	return pollIdle
+	return idlePollInterval
 }
 
-func (a *Agent) report(load Load) {
+// recordLoad stores the target's load, asks seats back if requests wait, and notifies the
+// watchers of a change.
+func (a *Agent) recordLoad(load Load) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.heard = time.Now()
+	a.lastAnswer = time.Now()
 	same := a.arbiter.Load() == load && !a.silent
 	if a.silent {
-		// It may have started again: what failed before says nothing of the new one, which
-		// would get requests last while the others do its work.
-		maps.DeleteFunc(a.witnesses, func(_ string, at time.Time) bool { return at.Before(a.unheard) })
+		// The target may have restarted. Failures of the earlier incarnation must not
+		// count against the new one, which would otherwise get requests only after all
+		// other targets.
+		maps.DeleteFunc(a.failureReports, func(_ string, at time.Time) bool { return at.Before(a.lastNoAnswer) })
 	}
 	a.silent = false
-	before := a.room
-	for _, id := range a.arbiter.Report(a.heard, load) {
-		close(a.asked[id])
-		delete(a.asked, id)
+	before := a.freeSeats
+	for _, id := range a.arbiter.Report(a.lastAnswer, load) {
+		close(a.yieldRequests[id])
+		delete(a.yieldRequests, id)
 		a.cfg.Metrics.Count("seat_asked_back")
 	}
 	a.cfg.Metrics.Gauge("target_active", float64(load.Active))
 	a.cfg.Metrics.Gauge("target_queued", float64(load.Queued))
 	a.cfg.Metrics.Gauge("seats_held", float64(a.arbiter.Held()))
-	a.room = max(a.arbiter.Room(a.heard), 0)
-	if !same || (a.room > 0) != (before > 0) {
-		a.wakeLocked()
+	a.freeSeats = max(a.arbiter.Room(a.lastAnswer), 0)
+	if !same || (a.freeSeats > 0) != (before > 0) {
+		a.notifyLocked()
 	}
 }
 
-// noAnswer tells the watchers once the target has been silent for long enough.
-func (a *Agent) noAnswer() {
+// recordNoAnswer records an unanswered poll and notifies the watchers once the target has
+// been silent for silentAfter.
+func (a *Agent) recordNoAnswer() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.unheard = time.Now()
-	if !a.silent && time.Since(a.heard) > staleAfter {
+	a.lastNoAnswer = time.Now()
+	if !a.silent && time.Since(a.lastAnswer) > silentAfter {
 		a.silent = true
-		a.wakeLocked()
+		a.notifyLocked()
 	}
 }
 
-// witness takes an entry's word that a request failed at the target.
-func (a *Agent) witness(entry string) {
+// recordFailure records an entry's report that a request failed at the target.
+func (a *Agent) recordFailure(entry string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	before := a.witnessedLocked()
-	a.witnesses[entry] = time.Now()
+	before := a.failingEntriesLocked()
+	a.failureReports[entry] = time.Now()
 	a.cfg.Metrics.Count("fault_told")
-	if a.witnessedLocked() != before {
-		a.wakeLocked()
+	if a.failingEntriesLocked() != before {
+		a.notifyLocked()
 	}
 }
 
-// witnessedLocked returns how many entries told of failures lately. a.mu is held.
-func (a *Agent) witnessedLocked() int {
-	for entry, at := range a.witnesses {
-		if time.Since(at) > witnessFor {
-			delete(a.witnesses, entry)
+// failingEntriesLocked returns the number of entries that reported failures within
+// failureReportTTL. a.mu is held.
+func (a *Agent) failingEntriesLocked() int {
+	for entry, at := range a.failureReports {
+		if time.Since(at) > failureReportTTL {
+			delete(a.failureReports, entry)
 		}
 	}
-	return len(a.witnesses)
+	return len(a.failureReports)
 }
 
-func (a *Agent) wakeLocked() {
+// notifyLocked wakes the watchers. a.mu is held.
+func (a *Agent) notifyLocked() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// Leave stops granting seats and asks for all of them back.
+// Leave stops granting seats and asks all granted seats back.
 func (a *Agent) Leave() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.leaving = true
-	for id, ch := range a.asked {
+	a.draining = true
+	for id, ch := range a.yieldRequests {
 		close(ch)
-		delete(a.asked, id)
+		delete(a.yieldRequests, id)
 	}
 }
 
-// Handle serves the streams of entries.
+// Handle serves a stream of an entry: a seat, a load watch or a failure report.
 func (a *Agent) Handle(ctx context.Context, _ link.Class, call *wire.Call, st *link.Stream) {
 	switch {
 	case call.GetSeat() != nil:
@@ -233,11 +239,12 @@
 		a.setSlots(call.GetLoadWatch().GetSlots())
 		a.serveWatch(ctx, st)
 	case call.GetFault() != nil:
-		a.witness(call.GetFault().GetEntry())
+		a.recordFailure(call.GetFault().GetEntry())
 	}
 }
 
-// setSlots takes the target's slots from an entry, which knows its registration.
+// setSlots sets the target's number of slots, which entries know from its registration. It
+// ignores 0.
 func (a *Agent) setSlots(n uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -247,7 +254,7 @@
 }
 
 func (a *Agent) serveSeat(ctx context.Context, req *wire.SeatRequest, st *link.Stream) {
-	id, asked, load := a.acquire(time.UnixMilli(req.GetDueUnixMs()))
+	id, yield, load := a.acquire(time.UnixMilli(req.GetDueUnixMs()))
 	if st.Send(&wire.SeatReply{Granted: id != 0, Load: load}) != nil || id == 0 {
 		a.release(id)
 		return
@@ -256,13 +263,13 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		// The holder sends nothing more: whatever comes is the stream's end.
+		// The holder sends nothing more, so Recv returns at the end of the stream.
 		_ = st.Recv(&wire.SeatReply{})
 	}()
 	select {
 	case <-ctx.Done():
 	case <-ended:
-	case <-asked:
+	case <-yield:
 		if st.Send(&wire.SeatReply{Yield: true}) != nil {
 			return
 		}
@@ -273,12 +280,13 @@
 	}
 }
 
-// acquire returns a seat, id 0 when there is none.
+// acquire returns the ID of a granted seat, a channel that is closed to ask for it back and
+// the load. The ID is 0 if no seat is granted.
 func (a *Agent) acquire(due time.Time) (uint64, chan struct{}, *wire.Load) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	if a.leaving || now.Sub(a.heard) > staleAfter {
+	if a.draining || now.Sub(a.lastAnswer) > silentAfter {
 		return 0, nil, a.loadLocked()
 	}
 	id, ok := a.arbiter.Acquire(now, due)
@@ -287,10 +295,10 @@
 		return 0, nil, a.loadLocked()
 	}
 	a.cfg.Metrics.Count("seat_granted")
-	asked := make(chan struct{})
-	a.asked[id] = asked
-	a.enterLocked()
-	return id, asked, a.loadLocked()
+	yield := make(chan struct{})
+	a.yieldRequests[id] = yield
+	a.addUserLocked()
+	return id, yield, a.loadLocked()
 }
 
 func (a *Agent) release(id uint64) {
@@ -300,9 +308,9 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.arbiter.Release(id)
-	delete(a.asked, id)
+	delete(a.yieldRequests, id)
 	a.users--
-	a.wakeLocked()
+	a.notifyLocked()
 }
 
 func (a *Agent) loadLocked() *wire.Load {
@@ -315,20 +323,20 @@
 		Room:   uint32(max(a.arbiter.Room(time.Now()), 0)),
 
 		Spare:  uint32(max(a.arbiter.Spare(time.Now()), 0)),
-		Silent: a.silent, Witnesses: uint32(a.witnessedLocked()),
+		Silent: a.silent, Witnesses: uint32(a.failingEntriesLocked()),
 	}
 }
 
-// serveWatch tells the load until the stream or ctx ends.
+// serveWatch sends the load until the stream or ctx ends.
 func (a *Agent) serveWatch(ctx context.Context, st *link.Stream) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		defer cancel()
-		_ = st.Recv(&wire.Load{}) // the watcher sends nothing more
+		_ = st.Recv(&wire.Load{}) // the watcher sends nothing more; Recv returns at the end of the stream
 	}()
 	a.mu.Lock()
-	a.enterLocked()
+	a.addUserLocked()
 	a.mu.Unlock()
 	defer func() {
 		a.mu.Lock()
@@ -338,15 +346,15 @@
 	for ctx.Err() == nil {
 		a.mu.Lock()
 		load, changed := a.loadLocked(), a.changed
-		known := !a.heard.IsZero() // an agent that has just started knows nothing yet
+		known := !a.lastAnswer.IsZero() // false until the first answer of the target
 		a.mu.Unlock()
 		if known && st.Send(load) != nil {
 			return
 		}
-		_ = wait.For(ctx, tellEvery)
+		_ = wait.For(ctx, minLoadInterval)
 		select {
 		case <-changed:
-		case <-time.After(tellAgain):
+		case <-time.After(loadHeartbeat):
 		case <-ctx.Done():
 		}
 	}
--- a/seats/agent_test.go
+++ b/seats/agent_test.go
@@ -20,59 +20,58 @@
 	"pumiceford/wire"
 )
 
-// gauge is a target whose load the test sets.
-type gauge struct {
-	mu   sync.Mutex
-	load seats.Load
-	fail bool
+// fakeTarget is a target whose load the test sets.
+type fakeTarget struct {
+	mu      sync.Mutex
+	load    seats.Load
+	failing bool
 }
 
-func (g *gauge) set(load seats.Load, fail bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.load, g.fail = load, fail
+func (ft *fakeTarget) set(load seats.Load, failing bool) {
+	ft.mu.Lock()
+	defer ft.mu.Unlock()
+	ft.load, ft.failing = load, failing
 }
 
-func (g *gauge) Load(context.Context) (seats.Load, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.fail {
+func (ft *fakeTarget) Load(context.Context) (seats.Load, error) {
+	ft.mu.Lock()
+	defer ft.mu.Unlock()
+	if ft.failing {
 		return seats.Load{}, errors.New("no answer")
 	}
-	return g.load, nil
+	return ft.load, nil
 }
 
-// pair connects an entry's peer with an agent in virtual time.
-type pair struct {
-	gauge *gauge
-	agent *seats.Agent
-	peer  *link.Peer
+// fixture connects an entry's peer with an agent in virtual time.
+type fixture struct {
+	target *fakeTarget
+	agent  *seats.Agent
+	peer   *link.Peer
 }
 
-func connect(ctx context.Context, load seats.Load) *pair {
-	p := &pair{gauge: &gauge{load: load}}
-	p.agent = seats.NewAgent(seats.AgentConfig{Name: unreserved(), Gauge: p.gauge, Log: logging.Logger{}, Metrics: metrics.New("test")})
-	go p.agent.Run(ctx)
-	p.peer = link.NewPeer(link.Config{Node: "entry", Dial: func(context.Context, string) (net.Conn, error) {
+func connect(ctx context.Context, load seats.Load) *fixture {
+	f := &fixture{target: &fakeTarget{load: load}}
+	f.agent = seats.NewAgent(seats.AgentConfig{Name: unreserved(), Gauge: f.target, Log: logging.Logger{}, Metrics: metrics.New("test")})
+	go f.agent.Run(ctx)
+	f.peer = link.NewPeer(link.Config{Node: "entry", Dial: func(context.Context, string) (net.Conn, error) {
 		a, b := net.Pipe()
-		go link.ServeConn(ctx, b, link.Config{Node: "agent", Handle: p.agent.Handle})
+		go link.ServeConn(ctx, b, link.Config{Node: "agent", Handle: f.agent.Handle})
 		return a, nil
 	}}, "agent")
 	time.Sleep(100 * time.Millisecond)
-	// The first who asks tells the agent of the target's slots.
-	if seat, _, err := seats.Acquire(ctx, p.peer, target, time.Now()); err == nil && seat != nil {
+	// The first request for a seat tells the agent the target's number of slots.
+	if seat, _, err := seats.Acquire(ctx, f.peer, target, time.Now()); err == nil && seat != nil {
 		seat.Close()
 	}
-	time.Sleep(800 * time.Millisecond) // the slots have been free for a while
-	return p
+	time.Sleep(800 * time.Millisecond) // longer than a slot must be free before it is granted
+	return f
 }
 
 var target = targets.Instance{ID: "i", Slots: 2}
 
-// bubble runs fn in virtual time. yamux keeps timers in a pool of the whole
-// process; collecting twice empties it, so that none reaches from one bubble into
-// another.
-func bubble(t *testing.T, fn func(ctx context.Context, t *testing.T)) {
+// inVirtualTime runs fn in a synctest bubble. yamux keeps timers in a process-wide pool;
+// collecting garbage twice empties the pool, so that no timer is used in two bubbles.
+func inVirtualTime(t *testing.T, fn func(ctx context.Context, t *testing.T)) {
 	t.Helper()
 	runtime.GC()
 	runtime.GC()
@@ -84,7 +83,7 @@
 	})
 }
 
-// unreserved returns a host whose agent keeps no slot free.
+// unreserved returns the name of a host whose agent reserves no slot.
 func unreserved() string {
 	name := "host"
 	for seats.Reserve(name) > 0 {
@@ -93,179 +92,176 @@
 	return name
 }
 
-// A seat is granted, asked back when an online request waits, and free for the
-// next after it was given back.
-func TestSeatThroughAPeak(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T) {
-		p := connect(ctx, seats.Load{Active: 1})
-		seat, load, err := seats.Acquire(ctx, p.peer, target, time.Now())
+// A seat is granted, asked back when an online request waits, and free again after it was
+// returned.
+func TestSeatIsAskedBackInAPeak(t *testing.T) {
+	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
+		f := connect(ctx, seats.Load{Active: 1})
+		seat, load, err := seats.Acquire(ctx, f.peer, target, time.Now())
 		if err != nil || seat == nil || load.GetActive() != 1 {
-			t.Fatalf("seat %v, load %v, %v", seat, load, err)
+			t.Fatalf("got seat %v, load %v, error %v, want a seat and 1 active", seat, load, err)
 		}
-		if again, _, err := seats.Acquire(ctx, p.peer, target, time.Now()); again != nil || err != nil {
-			t.Fatalf("a third request of two slots: %v %v", again, err)
+		if again, _, err := seats.Acquire(ctx, f.peer, target, time.Now()); again != nil || err != nil {
+			t.Fatalf("third request for two slots: got seat %v, error %v, want neither", again, err)
 		}
-		p.gauge.set(seats.Load{Active: 2, Queued: 1}, false)
+		f.target.set(seats.Load{Active: 2, Queued: 1}, false)
 		select {
 		case <-seat.Yield:
 		case <-time.After(100 * time.Millisecond):
 			t.Fatal("the seat was not asked back within 100 ms")
 		}
 		seat.Close()
-		p.gauge.set(seats.Load{Active: 1}, false)
+		f.target.set(seats.Load{Active: 1}, false)
 		time.Sleep(300 * time.Millisecond)
-		if seat, _, err := seats.Acquire(ctx, p.peer, target, time.Now()); seat == nil || err != nil {
-			t.Fatalf("after the peak: %v %v", seat, err)
+		if seat, _, err := seats.Acquire(ctx, f.peer, target, time.Now()); seat == nil || err != nil {
+			t.Fatalf("after the peak: got seat %v, error %v, want a seat", seat, err)
 		}
-		p.peer.Close()
+		f.peer.Close()
 	})
 }
 
-// Symptom: batch goes to a target that is dead.
-// Sequence: the target stops answering; its agent lives.
-// Cause: the agent granted seats by the last load that it had heard.
+// Guards against batch work at a failed target: the target stops answering while its agent
+// still runs, and the agent must not grant seats by the last load it got.
 func TestNoSeatsAtASilentTarget(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T) {
-		p := connect(ctx, seats.Load{})
-		p.gauge.set(seats.Load{}, true)
+	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
+		f := connect(ctx, seats.Load{})
+		f.target.set(seats.Load{}, true)
 		time.Sleep(2 * time.Second)
-		if seat, _, err := seats.Acquire(ctx, p.peer, target, time.Now()); seat != nil || err != nil {
-			t.Fatalf("seat %v, %v", seat, err)
+		if seat, _, err := seats.Acquire(ctx, f.peer, target, time.Now()); seat != nil || err != nil {
+			t.Fatalf("got seat %v, error %v, want neither", seat, err)
 		}
-		p.peer.Close()
+		f.peer.Close()
 	})
 }
 
-// A watcher is told of a change within some 30 ms, is told again while nothing
-// changes, and is told nothing of a target that does not answer.
-func TestWatchTellsChangesAndLife(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T) {
-		p := connect(ctx, seats.Load{Active: 1})
+// A watcher gets a changed load within about 30 ms and an unchanged load again at intervals.
+// Of a target that does not answer it learns only that it is silent.
+func TestWatchReportsChangesAndHeartbeats(t *testing.T) {
+	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
+		f := connect(ctx, seats.Load{Active: 1})
 		var mu sync.Mutex
 		var last *wire.Load
-		told := 0
+		reports := 0
 		watch, stop := context.WithCancel(ctx)
-		go seats.Watch(watch, p.peer, target, func(l *wire.Load) {
+		go seats.Watch(watch, f.peer, target, func(l *wire.Load) {
 			mu.Lock()
 			defer mu.Unlock()
-			last, told = l, told+1
+			last, reports = l, reports+1
 		})
 		seen := func() (*wire.Load, int) {
 			mu.Lock()
 			defer mu.Unlock()
-			return last, told
+			return last, reports
 		}
 		time.Sleep(time.Second)
 		if l, n := seen(); l.GetActive() != 1 || n < 3 || n > 6 {
-			t.Fatalf("told %d times in a second, last %v", n, l)
+			t.Fatalf("got %d reports in a second, want 3 to 6 with 1 active; last %v", n, l)
 		}
-		p.gauge.set(seats.Load{Active: 2, Queued: 3}, false)
+		f.target.set(seats.Load{Active: 2, Queued: 3}, false)
 		time.Sleep(40 * time.Millisecond)
 		if l, _ := seen(); l.GetQueued() != 3 {
-			t.Fatalf("after 40 ms: %v", l)
+			t.Fatalf("40 ms after the change: got %v, want 3 queued", l)
 		}
-		p.gauge.set(seats.Load{}, true)
+		f.target.set(seats.Load{}, true)
 		time.Sleep(time.Second)
 		mu.Lock()
 		last = nil
-		before := told
+		before := reports
 		mu.Unlock()
 		time.Sleep(2 * time.Second)
-		// All that is told from then on is that it does not answer, and no more often
-		// than any unchanged load.
+		// From then on all reports say that the target is silent, and come no more often
+		// than those of an unchanged load.
 		if l, after := seen(); !l.GetSilent() || after-before > 9 {
-			t.Fatalf("told %d times of a target that does not answer, last %v", after-before, l)
+			t.Fatalf("silent target: got %d reports in 2 s, want at most 9, all silent; last %v", after-before, l)
 		}
 		stop()
-		p.peer.Close()
+		f.peer.Close()
 	})
 }
 
-// Symptom: a stopping agent leaves items that nobody can ask to leave.
-func TestAStoppingAgentAsksAllSeatsBack(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T) {
-		p := connect(ctx, seats.Load{})
-		seat, _, err := seats.Acquire(ctx, p.peer, target, time.Now())
+// Guards against a stopping agent that leaves items in seats that nobody can ask back.
+func TestStoppingAgentAsksAllSeatsBack(t *testing.T) {
+	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
+		f := connect(ctx, seats.Load{})
+		seat, _, err := seats.Acquire(ctx, f.peer, target, time.Now())
 		if err != nil || seat == nil {
-			t.Fatalf("seat %v, %v", seat, err)
+			t.Fatalf("got seat %v, error %v, want a seat", seat, err)
 		}
-		p.agent.Leave()
+		f.agent.Leave()
 		select {
 		case <-seat.Yield:
 		case <-time.After(100 * time.Millisecond):
-			t.Fatal("the seat was not asked back")
+			t.Fatal("the seat was not asked back within 100 ms")
 		}
-		if again, _, _ := seats.Acquire(ctx, p.peer, target, time.Now()); again != nil {
-			t.Fatal("a seat was granted by a stopping agent")
+		if again, _, _ := seats.Acquire(ctx, f.peer, target, time.Now()); again != nil {
+			t.Fatal("a stopping agent granted a seat")
 		}
 		seat.Close()
-		p.peer.Close()
+		f.peer.Close()
 	})
 }
 
-// Symptom: each entry sends requests to a dark target until it has found out by
-// itself, though the agent beside the target knows.
-// Sequence: the target stops answering; an entry watches its load. Later two entries
-// tell of failed requests.
-// Cause: an agent without news kept silent, and entries told nobody.
-func TestAnAgentTellsOfASilentAndAFailingTarget(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T) {
-		p := connect(ctx, seats.Load{Active: 1})
+// Guards against entries that keep sending requests to a failed target until each has found
+// out by itself, although its agent knows: the agent must report a silent target, and the
+// number of entries that reported failed requests.
+func TestAgentReportsSilentAndFailingTarget(t *testing.T) {
+	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
+		f := connect(ctx, seats.Load{Active: 1})
 		var mu sync.Mutex
 		var last *wire.Load
-		go seats.Watch(ctx, p.peer, target, func(l *wire.Load) {
+		go seats.Watch(ctx, f.peer, target, func(l *wire.Load) {
 			mu.Lock()
 			defer mu.Unlock()
 			last = l
 		})
-		word := func() *wire.Load {
+		report := func() *wire.Load {
 			time.Sleep(450 * time.Millisecond)
 			mu.Lock()
 			defer mu.Unlock()
 			return last
 		}
-		if l := word(); l.GetSilent() || l.GetWitnesses() != 0 {
-			t.Errorf("at first: %v", l)
+		if l := report(); l.GetSilent() || l.GetWitnesses() != 0 {
+			t.Errorf("healthy target: got %v", l)
 		}
-		p.gauge.set(seats.Load{}, true)
-		if l := word(); !l.GetSilent() {
-			t.Errorf("the target does not answer: %v", l)
+		f.target.set(seats.Load{}, true)
+		if l := report(); !l.GetSilent() {
+			t.Errorf("silent target: got %v", l)
 		}
-		p.gauge.set(seats.Load{Active: 1}, false)
-		seats.TellFault(p.peer, "a")
-		seats.TellFault(p.peer, "b")
-		seats.TellFault(p.peer, "b")
-		if l := word(); l.GetSilent() || l.GetWitnesses() != 2 {
-			t.Errorf("two entries told of failures: %v", l)
+		f.target.set(seats.Load{Active: 1}, false)
+		seats.TellFault(f.peer, "a")
+		seats.TellFault(f.peer, "b")
+		seats.TellFault(f.peer, "b")
+		if l := report(); l.GetSilent() || l.GetWitnesses() != 2 {
+			t.Errorf("after failure reports of two entries: got %v", l)
 		}
 		time.Sleep(2 * time.Second)
-		if l := word(); l.GetWitnesses() != 0 {
-			t.Errorf("two seconds later: %v", l)
+		if l := report(); l.GetWitnesses() != 0 {
+			t.Errorf("two seconds after the failure reports: got %v", l)
 		}
 	})
 }
 
-// A target crashed under a request, two entries told its agent of it, and it was back within
-// two seconds. The new one was in doubt for what the old one had done: with few others left
-// it got the requests last.
-func TestANewLifeOfATargetIsNotDoubted(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T) {
-		p := connect(ctx, seats.Load{Active: 1})
-		var witnesses atomic.Uint32
-		go seats.Watch(ctx, p.peer, target, func(l *wire.Load) { witnesses.Store(l.GetWitnesses()) })
-		const settles = 450 * time.Millisecond
-		time.Sleep(settles)
-		seats.TellFault(p.peer, "a")
-		seats.TellFault(p.peer, "b")
-		p.gauge.set(seats.Load{}, true)
-		time.Sleep(settles)
-		if n := witnesses.Load(); n != 2 {
-			t.Errorf("%d entries told of failures of the old one", n)
+// Guards against a restarted target that is suspect for failures of its earlier
+// incarnation: it crashes during a request, two entries report the failure, and it is back
+// within two seconds. With few other targets left it would get requests last.
+func TestRestartedTargetHasNoFailureReports(t *testing.T) {
+	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
+		f := connect(ctx, seats.Load{Active: 1})
+		var failingEntries atomic.Uint32
+		go seats.Watch(ctx, f.peer, target, func(l *wire.Load) { failingEntries.Store(l.GetWitnesses()) })
+		const settleTime = 450 * time.Millisecond
+		time.Sleep(settleTime)
+		seats.TellFault(f.peer, "a")
+		seats.TellFault(f.peer, "b")
+		f.target.set(seats.Load{}, true)
+		time.Sleep(settleTime)
+		if n := failingEntries.Load(); n != 2 {
+			t.Errorf("%d entries reported failures of the earlier incarnation, want 2", n)
 		}
-		p.gauge.set(seats.Load{}, false)
-		time.Sleep(settles)
-		if n := witnesses.Load(); n != 0 {
-			t.Errorf("%d entries told of failures of the new one", n)
+		f.target.set(seats.Load{}, false)
+		time.Sleep(settleTime)
+		if n := failingEntries.Load(); n != 0 {
+			t.Errorf("%d entries reported failures of the new incarnation, want 0", n)
 		}
 	})
 }
--- a/seats/arbiter.go
+++ b/seats/arbiter.go
@@ -1,11 +1,9 @@
-// Package seats shares the slots of a target between online requests, which come
-// to it unannounced, and batch work, which asks for a seat first and gives it back
-// when asked.
+// Package seats shares the slots of a target between online requests, which arrive there
+// unannounced, and batch work, which needs a seat first and yields it when asked.
 //
-// A target admits requests in their order of arrival, so batch work must never
-// stand in its queue. Peaks of online work ask for more slots than there are
-// while troughs leave half of them idle: batch work fills what is free and leaves
-// as soon as anything waits.
+// A target admits requests in their order of arrival, so batch work must never wait in its
+// queue. Peaks of online work need more slots than there are, while troughs leave half of
+// them idle: batch work uses free slots and yields them as soon as a request waits.
 package seats
 
 import (
@@ -14,51 +12,51 @@
 	"time"
 )
 
-// Load is what the target says runs and waits there.
+// Load is the load that a target reports.
 type Load struct {
-	Active int
-	Queued int
+	Active int // requests running
+	Queued int // requests waiting
 }
 
-// settling is how long a granted or returned seat is corrected for in the
-// target's reports: connecting and being admitted take a few milliseconds, and a
-// report may be one polling interval old.
-const settling = 60 * time.Millisecond
+// reportLag is how long a granted seat may be missing from the target's reports:
+// connecting and admission take a few milliseconds, and a report may be one polling
+// interval old.
+const reportLag = 60 * time.Millisecond
 
-// steady is how long a slot has to be free before batch work gets it. At a peak
-// each slot that comes free is needed again at once: an item that took it was asked to
-// leave before it had done anything, again and again.
-const steady = 100 * time.Millisecond
+// minFreeTime is how long a slot must be free before batch work gets it. At a peak each
+// slot that becomes free is needed again at once, and items that took such slots were asked
+// to yield again and again before any progress.
+const minFreeTime = 100 * time.Millisecond
 
-// lease is one granted seat.
-type lease struct {
-	due     time.Time
-	granted time.Time
-	asked   bool // asked to give the seat back
+// heldSeat is one granted seat.
+type heldSeat struct {
+	due        time.Time
+	granted    time.Time
+	yieldAsked bool // the holder was asked to give the seat back
 }
 
-// Arbiter decides over the seats of one target. It is pure and not safe for
-// concurrent use.
+// Arbiter decides which seats of one target are granted and asked back. It does no I/O,
+// reads no clock and is not safe for concurrent use.
 type Arbiter struct {
 	slots   int
-	reserve int // slots that batch work leaves free
+	reserve int // slots kept free of batch work
 	load    Load
-	leases  map[uint64]*lease
-	next    uint64
-	// freeSince is since when a slot has been free for batch work all the time;
-	// zero while none is.
+	held    map[uint64]*heldSeat
+	lastID  uint64
+	// freeSince is the time since which a slot beyond the reserve has been free; zero if
+	// none is.
 	freeSince time.Time
-	// spareSince is since when any slot has been free.
-	spareSince time.Time
+	// anyFreeSince is the time since which any slot has been free; zero if none is.
+	anyFreeSince time.Time
 }
 
-// NewArbiter returns an Arbiter for a target with slots, of which batch work
-// leaves some free.
+// NewArbiter returns an Arbiter for a target with the given number of slots, of which it
+// keeps reserve free of batch work.
 func NewArbiter(slots, reserve int) *Arbiter {
-	return &Arbiter{slots: slots, reserve: reserve, leases: make(map[uint64]*lease)}
+	return &Arbiter{slots: slots, reserve: reserve, held: make(map[uint64]*heldSeat)}
 }
 
-// SetSlots changes the number of slots.
+// SetSlots sets the number of slots.
 func (a *Arbiter) SetSlots(n int) {
 	a.slots = n
 }
@@ -68,84 +66,87 @@
 	return a.slots
 }
 
-// Held returns the number of seats that are held.
+// Held returns the number of granted seats.
 func (a *Arbiter) Held() int {
-	return len(a.leases)
+	return len(a.held)
 }
 
-// Load returns the load as it was reported last.
+// Load returns the last reported load.
 func (a *Arbiter) Load() Load {
 	return a.load
 }
 
-// Free returns the slots that nothing uses or was promised.
+// Free returns the number of slots that are neither in use nor promised to a seat. It may
+// be negative.
 func (a *Arbiter) Free(now time.Time) int {
 	unseen := 0
-	for _, l := range a.leases {
-		if now.Sub(l.granted) < settling {
+	for _, s := range a.held {
+		if now.Sub(s.granted) < reportLag {
 			unseen++
 		}
 	}
-	// A lease seen already is part of Active; counting it twice for a moment
-	// leaves a slot idle that long, counting it never would queue batch work.
-	return a.slots - max(a.load.Active+a.load.Queued+unseen, len(a.leases))
+	// A seat granted within reportLag may be part of Active already. Counting it
+	// twice leaves a slot idle for that time; not counting it would queue batch work.
+	return a.slots - max(a.load.Active+a.load.Queued+unseen, len(a.held))
 }
 
-// pressing is how long before it is due an item may take the slot that batch work
-// otherwise leaves free: it still has to run for three to five seconds, and two peaks of
-// online requests may cost it two and a half each. With a backlog in the whole fleet the
-// free slots are much of what batch work could have, and without them items come late
-// while online requests gain nothing.
-const pressing = 12 * time.Second
+// urgentWithin is the time before an item is due in which it may take the slots that are
+// kept free of batch work. The item still has to run for three to five seconds, and two
+// peaks of online requests may cost it two and a half seconds each. With a backlog in the
+// whole fleet the reserved slots are much of what batch work could use; leaving them free
+// makes items late and gains nothing for online requests.
+const urgentWithin = 12 * time.Second
 
-// Presses reports whether an item that is due at a time may take the last free
-// slots. One that is late anyway may not.
+// Presses reports whether an item may take the reserved slots because it is due soon. An
+// item that is already late may not.
 func Presses(now, due time.Time) bool {
 	left := due.Sub(now)
-	return left > 0 && left < pressing
+	return left > 0 && left < urgentWithin
 }
 
-// Acquire grants a seat to work that is due at a time, when a slot is free.
+// Acquire grants a seat to work with the given due time if a slot is free. It returns the
+// seat's ID, which is never 0.
 func (a *Arbiter) Acquire(now, due time.Time) (id uint64, ok bool) {
-	room := a.Room(now)
+	free := a.Room(now)
 	if Presses(now, due) {
-		room += a.Spare(now)
+		free += a.Spare(now)
 	}
-	if room <= 0 {
+	if free <= 0 {
 		return 0, false
 	}
-	a.next++
-	a.leases[a.next] = &lease{due: due, granted: now}
-	return a.next, true
+	a.lastID++
+	a.held[a.lastID] = &heldSeat{due: due, granted: now}
+	return a.lastID, true
 }
 
-// Room returns how many seats can be granted now.
+// Room returns the number of seats that can be granted now. It may be negative.
 func (a *Arbiter) Room(now time.Time) int {
-	a.note(now)
-	if a.freeSince.IsZero() || now.Sub(a.freeSince) < steady {
+	a.updateFreeSince(now)
+	if a.freeSince.IsZero() || now.Sub(a.freeSince) < minFreeTime {
 		return 0
 	}
 	return a.Free(now) - a.reserve
 }
 
-// Spare returns how many seats more can be granted to items that press.
+// Spare returns the number of further seats that can be granted to urgent items.
 func (a *Arbiter) Spare(now time.Time) int {
-	a.note(now)
-	if a.spareSince.IsZero() || now.Sub(a.spareSince) < steady {
+	a.updateFreeSince(now)
+	if a.anyFreeSince.IsZero() || now.Sub(a.anyFreeSince) < minFreeTime {
 		return 0
 	}
 	return min(a.Free(now), a.reserve)
 }
 
-// note keeps since when a slot is free, beyond the reserve and at all.
-func (a *Arbiter) note(now time.Time) {
+// updateFreeSince updates freeSince and anyFreeSince.
+func (a *Arbiter) updateFreeSince(now time.Time) {
 	free := a.Free(now)
-	since(&a.freeSince, free > a.reserve, now)
-	since(&a.spareSince, free > 0, now)
+	trackSince(&a.freeSince, free > a.reserve, now)
+	trackSince(&a.anyFreeSince, free > 0, now)
 }
 
-// since keeps in at when a condition has begun to hold; zero while it does not.
-func since(at *time.Time, holds bool, now time.Time) {
+// trackSince sets at to the time since which a condition holds, or to zero if it does not
+// hold.
+func trackSince(at *time.Time, holds bool, now time.Time) {
 	switch {
 	case !holds:
 		*at = time.Time{}
@@ -154,23 +155,23 @@
 	}
 }
 
-// Release takes a seat back.
+// Release ends a granted seat.
 func (a *Arbiter) Release(id uint64) {
-	delete(a.leases, id)
+	delete(a.held, id)
 }
 
-// Report takes the target's load and returns the seats that have to be given
-// back now: one for each request beyond the slots, less those asked for already.
-// A request that waits while slots are free only waits for the engine's next
-// step; giving a seat back for it would cut batch work off for nothing. The latest
-// due go first, among equals the youngest, which have least to lose.
+// Report stores the target's load and returns the IDs of the seats to ask back now: one for
+// each request beyond the slots, less the seats already asked back. A request that waits
+// while slots are free only waits for the engine's next step, and asking a seat back for
+// it would cut off batch work for nothing. The seats with the latest due time come first;
+// among equals the one granted last, which has the least progress to lose.
 func (a *Arbiter) Report(now time.Time, load Load) []uint64 {
 	a.load = load
-	a.note(now)
+	a.updateFreeSince(now)
 	need := load.Active + load.Queued - a.slots
 	var ids []uint64
-	for id, l := range a.leases {
-		if l.asked {
+	for id, s := range a.held {
+		if s.yieldAsked {
 			need--
 			continue
 		}
@@ -180,15 +181,15 @@
 		return nil
 	}
 	slices.SortFunc(ids, func(x, y uint64) int {
-		lx, ly := a.leases[x], a.leases[y]
-		if c := ly.due.Compare(lx.due); c != 0 {
+		sx, sy := a.held[x], a.held[y]
+		if c := sy.due.Compare(sx.due); c != 0 {
 			return c
 		}
 		return cmp.Compare(y, x)
 	})
 	ids = ids[:min(need, len(ids))]
 	for _, id := range ids {
-		a.leases[id].asked = true
+		a.held[id].yieldAsked = true
 	}
 	return ids
 }
--- a/seats/arbiter_test.go
+++ b/seats/arbiter_test.go
@@ -11,11 +11,11 @@
 
 var start = time.Unix(1000, 0)
 
-// later is after the time in which a new seat is not yet seen in reports, and in
-// which a slot has to be free.
+// later is longer than a new seat may be missing from reports and than a slot must be free
+// before it is granted.
 const later = time.Second
 
-// idle returns an Arbiter whose slots have been free for a while, and the time.
+// idle returns an Arbiter whose slots are free for long enough to be granted, and the time.
 func idle(slots, reserve int) (*seats.Arbiter, time.Time) {
 	a := seats.NewArbiter(slots, reserve)
 	a.Report(start, seats.Load{})
@@ -26,16 +26,14 @@
 	t.Helper()
 	id, ok := a.Acquire(now, due)
 	if !ok {
-		t.Fatal("no seat")
+		t.Fatal("Acquire granted no seat")
 	}
 	return id
 }
 
-// Symptom: batch work is cut off again and again while slots are free.
-// Sequence: a request comes, and the report shows it waiting for the engine's
-// next step beside free slots.
-// Cause: every waiting request was taken for one without a slot.
-func TestARequestThatWaitsForTheNextStepCostsNoSeat(t *testing.T) {
+// Guards against cutting off batch work again and again while slots are free: a report may
+// show a new request waiting for the engine's next step beside free slots.
+func TestRequestWaitingForTheNextStepCostsNoSeat(t *testing.T) {
 	a, start := idle(8, 0)
 	acquire(t, a, start, start)
 	if ids := a.Report(start, seats.Load{Active: 5, Queued: 2}); len(ids) != 0 {
@@ -49,8 +47,8 @@
 	}
 }
 
-// Symptom: an item that is due now gives its seat up for one that has time.
-func TestTheLatestDueYieldsFirst(t *testing.T) {
+// Guards against an item that is due now yielding its seat to one with more time left.
+func TestLatestDueYieldsFirst(t *testing.T) {
 	a, start := idle(2, 0)
 	late := acquire(t, a, start, start.Add(time.Hour))
 	_ = acquire(t, a, start, start.Add(time.Second))
@@ -59,12 +57,9 @@
 	}
 }
 
-// A trough that ends: eight slots, batch in all of them, then a peak of three
-// online requests at a time.
-//
-// Symptom: online requests wait until batch items have run out.
-// Cause: nothing asked batch work to leave. Without an agent these three would
-// wait for items of five seconds.
+// Guards against online requests that wait until batch items finish: eight slots are all in
+// use by batch work when a peak of three online requests begins. Without an agent the three
+// would wait for items of five seconds.
 func TestPeakGetsItsSlotsWithinTwoReports(t *testing.T) {
 	a, start := idle(8, 0)
 	held := make(map[uint64]bool)
@@ -78,37 +73,35 @@
 		delete(held, id)
 	}
 	if len(held) != 5 {
-		t.Fatalf("batch keeps %d seats beside three online requests", len(held))
+		t.Fatalf("batch work holds %d seats beside three online requests, want 5", len(held))
 	}
 	if _, ok := a.Acquire(now, start); ok {
-		t.Fatal("a seat was granted that online requests wait for")
+		t.Fatal("Acquire granted a seat that online requests wait for")
 	}
 	a.Report(start, seats.Load{Active: 8})
 	if _, ok := a.Acquire(now, start); ok {
-		t.Fatal("a seat was granted while all slots are used")
+		t.Fatal("Acquire granted a seat while all slots are in use")
 	}
 }
 
-// A steady trickle of online requests beside batch work that fills every slot.
-//
-// Symptom: each online request cuts an item off, which then needs a new
-// connection and reads its prompt again: 34 times in this replay.
-// Cause: batch took the slot of each online request that ended. A slot kept free
-// lets the next request in without cutting anything off.
-func TestAReservedSlotSavesItemsFromATrickle(t *testing.T) {
+// Guards against online requests that cut off items although their rate is low and steady:
+// batch work takes the slot of each online request that ends, and the next request cuts the
+// item off, which then needs a new connection and processes its prompt again. That happens
+// 34 times in this replay without a reserve. A slot kept free of batch work prevents it.
+func TestReservedSlotAvoidsCutOffsAtLowLoad(t *testing.T) {
 	replay := func(reserve int) (cut int) {
 		a, now := idle(8, reserve)
 		online := 0
 		for i := range 100 {
 			for {
-				now = now.Add(later) // reports show what was granted and freed
+				now = now.Add(later) // reports include all seats granted and released
 				a.Report(now, seats.Load{Active: a.Held() + online})
 				now = now.Add(later)
 				if _, ok := a.Acquire(now, start); !ok {
 					break
 				}
 			}
-			// One comes in the first of three rounds and ends in the second.
+			// A request arrives in the first of three rounds and ends in the second.
 			switch i % 3 {
 			case 0:
 				online++
@@ -124,26 +117,24 @@
 		return cut
 	}
 	without, with := replay(0), replay(1)
-	t.Logf("items cut off: without a reserve %d, with one %d", without, with)
+	t.Logf("items cut off: %d without a reserve, %d with one", without, with)
 	if without < 30 || with != 0 {
-		t.Fatalf("items cut off: without a reserve %d, with one %d", without, with)
+		t.Fatalf("items cut off: %d without a reserve, %d with one", without, with)
 	}
 }
 
-// The middle of a peak: each slot that an online request leaves is taken by the
-// next one 50 ms later.
-//
-// Symptom: an item gets a seat and is asked to leave 33 ms later, ten times in a
-// row, with nothing done and a new connection each time.
-// Cause: a slot was given to batch work the moment it was free.
-func TestASlotIsGrantedOnlyWhenItStaysFree(t *testing.T) {
+// Guards against granting a slot to batch work as soon as it is free: in a peak the next
+// online request takes each slot 50 ms after the previous one ended. An item got such a
+// seat and was asked to yield 33 ms later, ten times in a row, without any progress and
+// with a new connection each time.
+func TestGrantsOnlySlotsThatStayFree(t *testing.T) {
 	a, now := idle(8, 0)
 	a.Report(now, seats.Load{Active: 8})
 	for range 20 {
 		a.Report(now, seats.Load{Active: 7})
 		now = now.Add(50 * time.Millisecond)
 		if id, ok := a.Acquire(now, start); ok {
-			t.Fatalf("seat %d granted in a peak", id)
+			t.Fatalf("Acquire granted seat %d in a peak", id)
 		}
 		a.Report(now, seats.Load{Active: 8})
 		now = now.Add(50 * time.Millisecond)
@@ -153,13 +144,13 @@
 	now = now.Add(100 * time.Millisecond)
 	for n := range 5 {
 		if _, ok := a.Acquire(now, start); !ok {
-			t.Fatalf("only %d seats granted in a trough", n)
+			t.Fatalf("got %d seats after the peak, want 5", n)
 		}
 	}
 }
 
-// Whatever is reported, asked for and given back, batch never holds more seats
-// than there are slots, and is asked for no more than what waits.
+// Whatever is reported, acquired and released, batch work never holds more seats than there
+// are slots, and no more seats are asked back than requests wait.
 func TestSeatsNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		slots := rapid.IntRange(1, 9).Draw(rt, "slots")
@@ -181,22 +172,20 @@
 			default:
 				load := seats.Load{Active: rapid.IntRange(0, slots).Draw(rt, "active"), Queued: rapid.IntRange(0, 4).Draw(rt, "queued")}
 				if ids := a.Report(now, load); len(ids) > max(0, load.Active+load.Queued-slots) {
-					rt.Fatalf("asked %d seats back for %+v of %d slots", len(ids), load, slots)
+					rt.Fatalf("asked back %d seats for %+v of %d slots", len(ids), load, slots)
 				}
 			}
 			if a.Held() > slots {
-				rt.Fatalf("%d seats of %d slots", a.Held(), slots)
+				rt.Fatalf("%d seats held of %d slots", a.Held(), slots)
 			}
 		}
 	})
 }
 
-// Symptom: items wait for their first seat until they are late, while a tenth of all
-// slots is free.
-// Sequence: a backlog of items; most agents leave a slot free of batch work; the
-// items' due time comes near.
-// Cause: the slot was left free whatever it cost.
-func TestAnItemThatIsDueSoonTakesTheReservedSlot(t *testing.T) {
+// Guards against items that wait for their first seat until they are late while a tenth of
+// all slots is free: with a backlog, the slots that most agents keep free of batch work must
+// be available to items that are due soon.
+func TestItemDueSoonTakesTheReservedSlot(t *testing.T) {
 	const slots = 4
 	a := seats.NewArbiter(slots, 1)
 	now := start
@@ -207,10 +196,10 @@
 		t.Error("an item with time to spare got the reserved slot")
 	}
 	if _, ok := a.Acquire(now, now.Add(-time.Second)); ok {
-		t.Error("an item that is late anyway got the reserved slot")
+		t.Error("an item that is already late got the reserved slot")
 	}
 	if _, ok := a.Acquire(now, now.Add(5*time.Second)); !ok {
-		t.Error("an item that is due soon got no slot")
+		t.Error("an item that is due soon got no seat")
 	}
 	if _, ok := a.Acquire(now, now.Add(5*time.Second)); ok {
 		t.Error("one slot was granted twice")
--- a/seats/client.go
+++ b/seats/client.go
@@ -10,20 +10,20 @@
 	"pumiceford/wire"
 )
 
-// Bounds of the entry's side.
+// Timeouts and delays of the entry's side.
 const (
-	acquireTimeout = 250 * time.Millisecond
-	watchPause     = 200 * time.Millisecond // between attempts to reach an agent
+	acquireTimeout  = 250 * time.Millisecond
+	watchRetryDelay = 200 * time.Millisecond // between attempts to reach an agent
 )
 
 // Seat is a granted seat. It is held until Close.
 type Seat struct {
 	release func()
-	// Yield is closed when the seat is to be given back at once.
+	// Yield is closed when the agent asks for the seat back.
 	Yield <-chan struct{}
 }
 
-// Granted returns a seat that no agent knows of.
+// Granted returns a seat without an agent.
 func Granted(yield <-chan struct{}) *Seat {
 	return &Seat{release: func() {}, Yield: yield}
 }
@@ -33,13 +33,13 @@
 	s.release()
 }
 
-// Acquire asks the agent at peer for a seat for work that is due at a time. It
-// returns nil when none is free, with the load that decided it.
+// Acquire asks the agent at peer for a seat for work with the given due time. It returns a
+// nil Seat if none is free. The returned load is the one that the agent decided by.
 func Acquire(ctx context.Context, peer *link.Peer, in targets.Instance, due time.Time) (*Seat, *wire.Load, error) {
-	ask, cancel := context.WithTimeout(ctx, acquireTimeout)
+	openCtx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	call := &wire.Call{Kind: &wire.Call_Seat{Seat: &wire.SeatRequest{Instance: in.ID, Slots: uint32(in.Slots), DueUnixMs: due.UnixMilli()}}}
-	st, err := peer.Open(ask, link.Batch, call)
+	st, err := peer.Open(openCtx, link.Batch, call)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -57,8 +57,8 @@
 	yield := make(chan struct{})
 	go func() {
 		more := &wire.SeatReply{}
-		// A stream that ends without a word leaves the work running: an agent
-		// that died must not cost what its target has done.
+		// The end of the stream alone does not stop the work: the failure of an agent
+		// must not discard what the target has done.
 		if st.Recv(more) == nil && more.GetYield() {
 			close(yield)
 		}
@@ -66,19 +66,20 @@
 	return &Seat{release: st.Close, Yield: yield}, reply.GetLoad(), nil
 }
 
-// Watch passes on each load that the agent at peer tells, until ctx ends.
-func Watch(ctx context.Context, peer *link.Peer, in targets.Instance, heard func(*wire.Load)) {
+// Watch calls onLoad with each load that the agent at peer sends, until ctx ends. It
+// reconnects after errors.
+func Watch(ctx context.Context, peer *link.Peer, in targets.Instance, onLoad func(*wire.Load)) {
 	for ctx.Err() == nil {
-		watchOnce(ctx, peer, in, heard)
-		_ = wait.For(ctx, watchPause)
+		watchOnce(ctx, peer, in, onLoad)
+		_ = wait.For(ctx, watchRetryDelay)
 	}
 }
 
-func watchOnce(ctx context.Context, peer *link.Peer, in targets.Instance, heard func(*wire.Load)) {
+func watchOnce(ctx context.Context, peer *link.Peer, in targets.Instance, onLoad func(*wire.Load)) {
 	call := &wire.Call{Kind: &wire.Call_LoadWatch{LoadWatch: &wire.LoadWatch{Instance: in.ID, Slots: uint32(in.Slots)}}}
 	st, err := peer.Open(ctx, link.Control, call)
 	if err != nil {
-		return // the session's own log tells of lost peers
+		return // the session logs lost peers
 	}
 	defer st.Close()
 	stop := context.AfterFunc(ctx, st.Close)
@@ -88,17 +89,17 @@
 		if st.Recv(load) != nil {
 			return
 		}
-		heard(load)
+		onLoad(load)
 	}
 }
 
-// faultTimeout bounds telling an agent of a failure. Nothing waits for it.
-const faultTimeout = 500 * time.Millisecond
+// failureReportTimeout bounds sending a failure report. No request waits for it.
+const failureReportTimeout = 500 * time.Millisecond
 
-// TellFault tells the agent at peer that a request of an entry failed at its target.
-// A word that is lost costs nothing: the next failure is told again.
+// TellFault reports to the agent at peer that a request of an entry failed at the agent's
+// target. A lost report does no harm, because the next failure is reported again.
 func TellFault(peer *link.Peer, entry string) {
-	ctx, cancel := context.WithTimeout(context.Background(), faultTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), failureReportTimeout)
 	defer cancel()
 	st, err := peer.Open(ctx, link.Control, &wire.Call{Kind: &wire.Call_Fault{Fault: &wire.TargetFault{Entry: entry}}})
 	if err == nil {
