--- a/balance/balance.go
+++ b/balance/balance.go
@@ -188,12 +188,12 @@
 	best, sum := tierQueue, 0.0
 	weights := make([]float64, len(candidates))
 	for i, v := range candidates {
-		tier, w := v.rank(now)
-		if tier < best {
-			best, sum = tier, 0
+		vTier, w := v.rank(now)
+		if vTier < best {
+			best, sum = vTier, 0
 			clear(weights[:i])
 		}
-		if tier == best {
+		if vTier == best {
 			weights[i] = w
 			sum += w
 		}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -70,7 +70,7 @@
 		holdTime          = 750 * time.Millisecond
 		reportInterval    = 50 * time.Millisecond
 	)
-	replay := func(naive bool) (waited int) {
+	replay := func(useLeastLoaded bool) (waited int) {
 		rnd := rand.New(rand.NewPCG(1, 2))
 		f := newFleet(entries, n, slots)
 		reported := make(map[string]int)
@@ -104,7 +104,7 @@
 			}
 			e := rnd.IntN(entries)
 			id := leastLoaded(reported, n)
-			if !naive {
+			if !useLeastLoaded {
 				c, ok := f.entries[e].Pick(now, "s", nil, rnd.Float64())
 				if !ok {
 					t.Fatal("no target")
@@ -120,10 +120,10 @@
 		}
 		return waited
 	}
-	drawn, naive := replay(false), replay(true)
-	t.Logf("of 105 requests waited: weighted draw %d, least loaded %d", drawn, naive)
-	if drawn > 4 || naive < 4*drawn {
-		t.Fatalf("waited: weighted draw %d, least loaded %d", drawn, naive)
+	drawn, least := replay(false), replay(true)
+	t.Logf("of 105 requests waited: weighted draw %d, least loaded %d", drawn, least)
+	if drawn > 4 || least < 4*drawn {
+		t.Fatalf("waited: weighted draw %d, least loaded %d", drawn, least)
 	}
 }
 
--- a/balance/view.go
+++ b/balance/view.go
@@ -30,7 +30,7 @@
 	Spare  int // further seats for items that are due soon
 	// Silent says that the target does not respond to its agent.
 	Silent bool
-	// Witnesses is the number of entries that recently reported failures to the agent.
+	// Number of entries that recently reported failures to the agent.
 	Witnesses int
 }
 
@@ -110,8 +110,8 @@
 //
 // In a large fleet an entry gets reports of only some targets. Without a tier of their own,
 // targets without a report look empty and draw nearly all requests of the entry; the
-// requests wait there, and the busy targets are ejected as not responding. These targets
-// therefore get a request only if no reported target has room for it.
+// requests wait there, and the busy targets are ejected as not responding. Targets without
+// a report therefore get a request only if no reported target has room for it.
 //
 // Weights are squares, so that emptier targets are clearly preferred without all processes
 // choosing the same one.
--- a/catalog/current.go
+++ b/catalog/current.go
@@ -10,13 +10,11 @@
 }
 
 // Get returns the catalog in force, or nil if there is none yet.
-// Get returns the catalog in force, nil while none is known.
 func (c *Current) Get() *Catalog {
 	return c.cur.Load()
 }
 
 // Offer puts a catalog in force if its version is higher. It reports whether it did.
-// Offer puts a catalog in force when it is newer. It reports whether it did.
 func (c *Current) Offer(next *Catalog) bool {
 	for {
 		old := c.cur.Load()
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -54,7 +54,7 @@
 		return 1
 	}
 	if !fa {
-		// Both are late: the one with the least time left frees its seat first.
+		// Neither can finish in time: the one with the least time left frees its seat first.
 		return cmp.Compare(a.Left, b.Left)
 	}
 	return a.Due.Compare(b.Due)
@@ -78,7 +78,7 @@
 	minRunTime = 200 * time.Millisecond
 )
 
-// NewPace returns a Pace with initial estimates.
+// NewPace returns an estimator with initial estimates.
 func NewPace() *Pace {
 	return &Pace{eventsPerItem: initialEventsPerItem, timePerEvent: initialTimePerEvent}
 }
--- a/targets/targets.go
+++ b/targets/targets.go
@@ -85,7 +85,7 @@
 	if old == nil || in.Seq < old.Seq || s.addrOwner[in.Addr] != in.ID {
 		return false
 	}
-	if _, lapses := s.expired[in.ID]; lapses {
+	if _, isExpired := s.expired[in.ID]; isExpired {
 		return false
 	}
 	in.Seq = old.Seq
@@ -110,8 +110,9 @@
 	}
 }
 
-// Drop records the end of a registration. Around a registry outage it keeps the instance
-// for outageGrace, because registrations of live targets expire then and return.
+// Drop records the end of a registration. Around a registry outage the instance is kept
+// until outageGrace after the outage, because registrations of live targets expire then and
+// return.
 func (s *Set) Drop(now time.Time, id string) {
 	if s.byID[id] == nil {
 		return
