--- a/fleet/copies.go
+++ b/fleet/copies.go
@@ -11,71 +11,73 @@
 	"pumiceford/wire"
 )
 
-// Copies keeps what is known of the fleet on partitions of the store other than
-// those of the configuration and the registry. The store may be down for some
-// partitions only; when every process has just started and these two are among
-// them, nobody knows a target, and a whole fleet of sound ones serves nothing.
+// Copies saves a View to partitions of the store other than those of the
+// configuration and the registry. The store can fail for some partitions only: if
+// these two are among them while every process restarts, no process knows a target
+// and a healthy fleet serves no request.
 type Copies struct {
-	log   store.Log
-	topic string
-	parts int // of the topic
-	view  *View
-	out   logging.Logger
-	saved uint64 // changes of the view that were kept last
+	log           store.Log
+	topic         string
+	numPartitions int // partitions of the topic
+	view          *View
+	logger        logging.Logger
+	savedChanges  uint64 // change count of the view at the last save
 }
 
-// Bounds of copies.
+// Limits of the copies.
 const (
-	// copyCount is how many copies there are. With a third of all partitions
-	// down, one in 27 outages takes all three.
+	// copyCount is the number of partitions with a copy. With a third of all
+	// partitions down, one outage in 27 affects all three.
 	copyCount = 3
 	copyKey   = "fleet"
-	// maxCopyBytes fits one record.
+	// maxCopyBytes keeps a copy within the size limit of one record.
 	maxCopyBytes = 240 << 10
 	copyTimeout  = 500 * time.Millisecond
 )
 
-// NewCopies returns Copies of a view.
-func NewCopies(log store.Log, topic string, parts int, view *View, out logging.Logger) *Copies {
-	return &Copies{log: log, topic: topic, parts: parts, view: view, out: out}
+// NewCopies returns Copies that save and load view on a topic with numPartitions
+// partitions.
+func NewCopies(log store.Log, topic string, numPartitions int, view *View, logger logging.Logger) *Copies {
+	return &Copies{log: log, topic: topic, numPartitions: numPartitions, view: view, logger: logger}
 }
 
-// partitions returns where the copies lie.
+// partitions returns the partitions that hold the copies.
 func (c *Copies) partitions() []store.Partition {
-	return store.Spread(c.topic, c.parts, copyCount)
+	return store.Spread(c.topic, c.numPartitions, copyCount)
 }
 
-// Save keeps the view when it has changed since the last time.
+// Save writes the view to all copies if it has changed since the last save. A save
+// that reaches at least one partition counts as done.
 func (c *Copies) Save(ctx context.Context, now time.Time) {
 	changes := c.view.Changes()
-	if changes == c.saved || !c.view.Ready() {
+	if changes == c.savedChanges || !c.view.Ready() {
 		return
 	}
 	raw, recs := c.view.Export()
 	value, err := proto.Marshal(&wire.CatalogReply{Catalog: raw, Targets: store.ToWire(recs), SavedUnixMs: now.UnixMilli()})
 	if err != nil || len(value) > maxCopyBytes {
-		c.out.Warn("fleet not copied", logging.F("bytes", len(value)), logging.F("targets", len(recs)))
-		c.saved = changes
+		c.logger.Warn("fleet copy not saved: encoding failed or it exceeds one record", logging.F("bytes", len(value)), logging.F("targets", len(recs)))
+		c.savedChanges = changes
 		return
 	}
-	kept := 0
+	written := 0
 	for _, p := range c.partitions() {
-		one, cancel := context.WithTimeout(ctx, copyTimeout)
-		if _, err := c.log.Append(one, p, []store.Record{{Key: copyKey, Value: value}}, store.AnyEnd); err == nil {
-			kept++
+		callCtx, cancel := context.WithTimeout(ctx, copyTimeout)
+		if _, err := c.log.Append(callCtx, p, []store.Record{{Key: copyKey, Value: value}}, store.AnyEnd); err == nil {
+			written++
 		}
 		cancel()
 	}
-	if kept > 0 {
-		c.saved = changes
+	if written > 0 {
+		c.savedChanges = changes
 	}
 }
 
-// Load offers the newest copy that can be read to the view.
+// Load imports the newest readable copy into the view.
 func (c *Copies) Load(ctx context.Context) {
 	var newest *wire.CatalogReply
 	for _, p := range c.partitions() {
-		if r := c.read(ctx, p); r != nil && (newest == nil || r.GetSavedUnixMs() > newest.GetSavedUnixMs()) {
+		if r := c.readCopy(ctx, p); r != nil && (newest == nil || r.GetSavedUnixMs() > newest.GetSavedUnixMs()) {
 			newest = r
 		}
 	}
@@ -84,12 +86,12 @@
 	}
 }
 
-func (c *Copies) read(ctx context.Context, p store.Partition) *wire.CatalogReply {
-	one, cancel := context.WithTimeout(ctx, copyTimeout)
+func (c *Copies) readCopy(ctx context.Context, p store.Partition) *wire.CatalogReply {
+	callCtx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
-	snap, err := c.log.Newest(one, p, "")
+	snap, err := c.log.Newest(callCtx, p, "")
 	if err != nil {
-		return nil // it is one of several, and tried again
+		return nil // the other copies may be readable, and the caller retries
 	}
 	for _, r := range snap.Records {
 		reply := &wire.CatalogReply{}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet is what a process knows of the fleet: the catalog in force, the
-// registered targets and their load. It follows the shared store and, while that
-// does not answer, asks peers.
+// Package fleet holds a process's view of the fleet: the catalog in force, the
+// registered targets and their load. The view follows the shared store; while the store
+// does not answer, it can be filled from peers or from copies.
 package fleet
 
 import (
@@ -17,19 +17,19 @@
 	"pumiceford/targets"
 )
 
-// Decoder turns the platform's records into the project's types. Each function
-// reports an error for what it cannot read.
+// Decoder converts the platform's records to the types of this module. Each method
+// returns an error for a value that it cannot decode.
 type Decoder interface {
 	// Catalog decodes a version of the configuration.
 	Catalog(value []byte) (*catalog.Catalog, error)
 	// Instance decodes a target's registration.
 	Instance(id string, value []byte) (targets.Instance, error)
-	// CatalogKey is the key of the configuration in its topic.
+	// CatalogKey returns the record key of the configuration in its topic.
 	CatalogKey() string
 }
 
-// View is the state. All methods are safe for concurrent use; mu is held for
-// memory only.
+// View is the fleet as this process knows it. All methods are safe for concurrent use.
+// mu is never held during I/O.
 type View struct {
 	decoder Decoder
 	log     logging.Logger
@@ -37,53 +37,54 @@
 
 	current catalog.Current
 
-	mu       sync.Mutex
-	raw      []byte // newest catalog as it was stored, for peers
-	set      *targets.Set
-	rawByID  map[string]store.Record // registrations as they were stored, for peers
-	table    *balance.Table
-	registry bool          // the registry was read, or told by a peer or copy
-	ready    chan struct{} // closed once catalog and registry are known
-	changes  uint64
-	since    time.Time // when the catalog in force was taken
-	onChange func([]targets.Instance)
+	mu            sync.Mutex
+	rawCatalog    []byte // newest catalog in its stored form, for peers
+	set           *targets.Set
+	rawTargets    map[string]store.Record // registrations by instance ID in their stored form, for peers
+	table         *balance.Table
+	registryKnown bool          // registrations were received from the store, a peer or a copy
+	ready         chan struct{} // closed once catalog and registry are known
+	changes       uint64
+	catalogSince  time.Time // when the catalog in force was applied
+	onChange      func([]targets.Instance)
 }
 
-// NewView returns a View that knows nothing.
+// NewView returns an empty View. salt is passed to balance.NewTable.
 func NewView(dec Decoder, salt uint64, log logging.Logger, ms *metrics.Set) *View {
 	return &View{
 		decoder: dec, log: log, metrics: ms,
 		ready: make(chan struct{}),
-		set:   targets.NewSet(), rawByID: make(map[string]store.Record),
+		set:   targets.NewSet(), rawTargets: make(map[string]store.Record),
 		table:    balance.NewTable(salt),
 		onChange: func([]targets.Instance) {},
 	}
 }
 
-// OnChange sets what is told the instances whenever they change. It is called
-// without locks held.
+// OnChange sets the function that is called with all instances after they change. It
+// is called without locks held.
 func (v *View) OnChange(fn func([]targets.Instance)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.onChange = fn
 }
 
-// Catalog returns the catalog in force, nil while none is known.
+// Catalog returns the catalog in force, or nil if none is known yet.
 func (v *View) Catalog() *catalog.Catalog {
 	return v.current.Get()
 }
 
-// CatalogAge returns how long the catalog has been in force here.
+// CatalogAge returns how long the catalog has been in force in this process, 0 if none
+// is known yet.
 func (v *View) CatalogAge(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.since.IsZero() {
+	if v.catalogSince.IsZero() {
 		return 0
 	}
-	return now.Sub(v.since)
+	return now.Sub(v.catalogSince)
 }
 
-// Ready reports whether requests can be served: catalog and registry are known.
+// Ready reports whether catalog and registry are known, so that requests can be served.
 func (v *View) Ready() bool {
 	select {
 	case <-v.ready:
@@ -93,33 +94,36 @@
 	}
 }
 
-// Await waits until the view is ready, for at most limit.
+// Await blocks until the view is ready, limit has passed or ctx ends. Callers check
+// Ready afterwards.
 func (v *View) Await(ctx context.Context, limit time.Duration) {
-	_ = wait.ForChange(ctx, v.ready, limit) // Ready tells whether it is
+	_ = wait.ForChange(ctx, v.ready, limit)
 }
 
-// noteReadyLocked closes ready when both are known. v.mu is held.
-func (v *View) noteReadyLocked() {
-	if v.current.Get() != nil && v.registry && !v.Ready() {
+// closeReadyLocked closes v.ready once catalog and registry are known. The caller
+// holds v.mu.
+func (v *View) closeReadyLocked() {
+	if v.current.Get() != nil && v.registryKnown && !v.Ready() {
 		close(v.ready)
 	}
 }
 
-// offerCatalog takes a stored configuration.
-func (v *View) offerCatalog(value []byte, from string) {
+// applyCatalog decodes a stored configuration and puts it in force if it is newer. from
+// names its source in the log.
+func (v *View) applyCatalog(value []byte, from string) {
 	c, err := v.decoder.Catalog(value)
 	if err != nil {
 		v.metrics.Count("catalog_unreadable")
-		v.log.Error("catalog cannot be read; the one in force stays", logging.F("from", from), logging.F("error", err.Error()))
+		v.log.Error("catalog cannot be decoded; keeping the one in force", logging.F("from", from), logging.F("error", err.Error()))
 		return
 	}
 	v.mu.Lock()
 	newer := v.current.Offer(c)
 	if newer {
-		v.raw = value
+		v.rawCatalog = value
 		v.changes++
-		v.since = time.Now()
-		v.noteReadyLocked()
+		v.catalogSince = time.Now()
+		v.closeReadyLocked()
 	}
 	v.mu.Unlock()
 	if newer {
@@ -145,51 +149,52 @@
 func (s catalogSink) Apply(recs ...store.Record) {
 	for _, r := range recs {
 		if r.Key == s.v.decoder.CatalogKey() && len(r.Value) > 0 {
-			s.v.offerCatalog(r.Value, "store")
+			s.v.applyCatalog(r.Value, "store")
 		}
 	}
 }
 
-// Table calls fn with the balance table locked.
+// Table calls fn with the balance table while holding the lock. fn must not call
+// methods of the View.
 func (v *View) Table(fn func(t *balance.Table)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	fn(v.table)
 }
 
-// Instances returns the known instances.
+// Instances returns the known instances, sorted by ID.
 func (v *View) Instances() []targets.Instance {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.set.All()
 }
 
-// Export returns the newest catalog and registrations as they were stored, for
-// a peer that knows none.
+// Export returns the newest catalog and registrations in their stored form, for peers
+// and copies.
 func (v *View) Export() (raw []byte, recs []store.Record) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, r := range v.rawByID {
-		recs = append(recs, r) // with its offset: the last one heard of has an address
+	for _, r := range v.rawTargets {
+		recs = append(recs, r) // offsets stay: an address belongs to its newest registration
 	}
-	return v.raw, recs
+	return v.rawCatalog, recs
 }
 
-// Import takes what was exported elsewhere. The registry counts only while none
-// was read here.
+// Import applies what another process exported. An older catalog is ignored, and
+// registrations are used only while this process knows none.
 func (v *View) Import(raw []byte, recs []store.Record, from string) {
 	if len(raw) > 0 {
-		v.offerCatalog(raw, from)
+		v.applyCatalog(raw, from)
 	}
 	v.mu.Lock()
-	known := v.registry
+	known := v.registryKnown
 	v.mu.Unlock()
 	if !known && len(recs) > 0 {
 		v.replaceTargets(recs, from)
 	}
 }
 
-// Changes counts the changes of catalog and targets so far.
+// Changes returns the number of catalog and target changes so far.
 func (v *View) Changes() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -22,79 +22,81 @@
 	s.v.replaceTargets(recs, "store")
 }
 
-// Apply implements store.Sink. What came together is taken as one change: when all
-// targets of a large fleet start again, each record had the whole registry compared, told on and logged, and the smallest hosts were busy with it for seconds.
+// Apply implements store.Sink. It applies all records as one change: when all targets
+// of a large fleet restart, comparing, announcing and logging the whole registry for each
+// record keeps the smallest hosts busy for seconds.
 func (s targetSink) Apply(recs ...store.Record) {
 	v := s.v
 	updates := make([]registryUpdate, 0, len(recs))
 	for _, r := range recs {
-		updates = append(updates, v.read(r))
+		updates = append(updates, v.parseRecord(r))
 	}
-	if v.renewAll(updates) {
+	if v.applyHeartbeats(updates) {
 		return
 	}
 	now := time.Now()
-	v.changeTargets(func() {
+	v.updateTargets(func() {
 		for _, u := range updates {
 			v.applyLocked(now, u)
 		}
 	})
 }
 
-// registryUpdate is what one record of the registry says.
+// registryUpdate is a decoded record of the registry.
 type registryUpdate struct {
 	record   store.Record
 	instance targets.Instance
-	gone     bool // the registration has ended
-	// unreadable: it may have overwritten a live target's registration, which gets
-	// nothing until its own next heartbeat says that it is there.
+	ended    bool // the registration was removed
+	// unreadable is set if the record cannot be decoded. It may have overwritten the
+	// registration of a live target, which then gets no requests until its next
+	// heartbeat.
 	unreadable bool
 }
 
-func (v *View) read(r store.Record) registryUpdate {
+func (v *View) parseRecord(r store.Record) registryUpdate {
 	if len(r.Value) == 0 {
-		return registryUpdate{record: r, gone: true}
+		return registryUpdate{record: r, ended: true}
 	}
-	in, ok := v.decode(r)
+	in, ok := v.decodeInstance(r)
 	return registryUpdate{record: r, instance: in, unreadable: !ok}
 }
 
-// renewAll takes updates that are all heartbeats which say nothing new, and reports
-// whether they were.
-func (v *View) renewAll(updates []registryUpdate) bool {
+// applyHeartbeats applies updates if all of them are heartbeats without other changes,
+// and reports whether it did. It skips the comparison of the whole registry.
+func (v *View) applyHeartbeats(updates []registryUpdate) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, u := range updates {
-		if u.gone || u.unreadable || !v.set.Renews(u.instance) {
+		if u.ended || u.unreadable || !v.set.Renews(u.instance) {
 			return false
 		}
 	}
 	for _, u := range updates {
 		v.set.Put(u.instance)
-		v.rawByID[u.record.Key] = u.record
+		v.rawTargets[u.record.Key] = u.record
 	}
 	return true
 }
 
-// applyLocked takes one update. v.mu is held.
+// applyLocked applies one update. The caller holds v.mu.
 func (v *View) applyLocked(now time.Time, u registryUpdate) {
 	switch {
-	case u.gone:
+	case u.ended:
 		v.set.Drop(now, u.record.Key)
-		delete(v.rawByID, u.record.Key)
+		delete(v.rawTargets, u.record.Key)
 	case u.unreadable:
 		v.set.Supersede(u.record.Key)
 	default:
 		v.set.Put(u.instance)
-		v.rawByID[u.record.Key] = u.record
+		v.rawTargets[u.record.Key] = u.record
 	}
 }
 
-func (v *View) decode(r store.Record) (targets.Instance, bool) {
+func (v *View) decodeInstance(r store.Record) (targets.Instance, bool) {
 	in, err := v.decoder.Instance(r.Key, r.Value)
 	if err != nil {
 		v.metrics.Count("registration_unreadable")
-		v.log.Warn("registration cannot be read", logging.F("instance", r.Key), logging.F("error", err.Error()))
+		v.log.Warn("registration cannot be decoded", logging.F("instance", r.Key), logging.F("error", err.Error()))
 		return in, false
 	}
 	return in, true
@@ -105,45 +107,47 @@
 	var all []targets.Instance
 	raw := make(map[string]store.Record)
 	for _, r := range recs {
-		if in, ok := v.decode(r); ok {
+		if in, ok := v.decodeInstance(r); ok {
 			all = append(all, in)
 			raw[r.Key] = r
 		}
 	}
 	now := time.Now()
-	v.changeTargets(func() {
+	v.updateTargets(func() {
 		v.set.Replace(now, all)
-		v.rawByID = raw
-		v.registry = true
+		v.rawTargets = raw
+		v.registryKnown = true
 	})
 	v.mu.Lock()
-	v.noteReadyLocked()
+	v.closeReadyLocked()
 	v.mu.Unlock()
-	v.log.Info("registry read", logging.F("from", from), logging.F("targets", len(all)))
+	v.log.Info("registry loaded", logging.F("from", from), logging.F("targets", len(all)))
 }
 
-// changeTargets changes the set and tells what became of it.
-func (v *View) changeTargets(change func()) {
+// updateTargets calls change with v.mu held. If the instances differ afterwards, it
+// updates the balance table, logs the changes and calls the function set by OnChange.
+func (v *View) updateTargets(change func()) {
 	v.mu.Lock()
 	before := v.set.All()
 	change()
 	after := v.set.All()
-	same := equal(before, after)
+	same := sameInstances(before, after)
 	if !same {
 		v.table.Replace(after)
 		v.changes++
 	}
-	tell := v.onChange
+	notify := v.onChange
 	v.mu.Unlock()
 	if same {
 		return
 	}
 	v.logChanges(before, after)
 	v.metrics.Gauge("targets", float64(len(after)))
-	tell(after)
+	notify(after)
 }
 
-func equal(a, b []targets.Instance) bool {
+// sameInstances reports whether a and b are equal apart from their sequence numbers.
+func sameInstances(a, b []targets.Instance) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -157,9 +161,9 @@
 	return true
 }
 
-// maxChangesTold is how many changes that came together get a line each. When a data
-// centre or the whole fleet starts again, one line counts them.
-const maxChangesTold = 16
+// maxChangesLogged is the number of simultaneous changes that are logged one by one.
+// Above it, as when a data centre or the whole fleet restarts, one line counts them.
+const maxChangesLogged = 16
 
 func (v *View) logChanges(before, after []targets.Instance) {
 	old := make(map[string]targets.Instance, len(before))
@@ -172,11 +176,11 @@
 		delete(old, in.ID)
 		in.Seq = was.Seq
 		if !known && len(before) == 0 || in == was {
-			continue // a first reading is told as one line
+			continue // replaceTargets logs the first load of the registry as one line
 		}
 		changed = append(changed, [2]targets.Instance{was, in})
 	}
-	if n := len(changed) + len(old); n > maxChangesTold {
+	if n := len(changed) + len(old); n > maxChangesLogged {
 		v.log.Info("many targets changed", logging.F("changed", len(changed)), logging.F("gone", len(old)),
 			logging.F("before", len(before)), logging.F("now", len(after)))
 		return
@@ -194,22 +198,22 @@
 	case was.ID == "":
 		v.log.Info("target joined", logging.F("instance", in.ID), logging.F("addr", in.Addr), logging.F("service", in.Service))
 	case in.Born != was.Born:
-		v.log.Info("target started again", logging.F("instance", in.ID), logging.F("addr", in.Addr),
+		v.log.Info("target restarted", logging.F("instance", in.ID), logging.F("addr", in.Addr),
 			logging.F("born", in.Born), logging.F("before", was.Born))
 	case in.Superseded && !was.Superseded:
-		v.log.Info("target's registration no longer holds", logging.F("instance", in.ID), logging.F("addr", in.Addr))
+		v.log.Info("target registration superseded by another instance", logging.F("instance", in.ID), logging.F("addr", in.Addr))
 	case in.Draining && !was.Draining:
 		v.log.Info("target is leaving", logging.F("instance", in.ID), logging.F("seq", in.Seq))
 	}
 }
 
-// Supersede notes that another instance answered at an instance's address: the
-// registrations of dead targets stay for seconds.
+// Supersede marks an instance as replaced because another one answered at its address.
+// Registrations of dead targets remain in the registry for seconds.
 func (v *View) Supersede(id string) {
-	v.changeTargets(func() { v.set.Supersede(id) })
+	v.updateTargets(func() { v.set.Supersede(id) })
 }
 
-// RegistryAway notes that the registry does not answer.
+// RegistryAway records that the registry does not answer.
 func (v *View) RegistryAway(error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -217,21 +221,21 @@
 	v.metrics.Count("registry_failures")
 }
 
-// RegistryBack notes that the registry answers again.
-func (v *View) RegistryBack(away time.Duration) {
+// RegistryBack records that the registry answers again after an outage.
+func (v *View) RegistryBack(outage time.Duration) {
 	v.mu.Lock()
 	v.set.Back(time.Now())
 	v.mu.Unlock()
-	v.log.Info("registry answers again", logging.F("away_ms", away.Milliseconds()))
+	v.log.Info("registry reachable again", logging.F("away_ms", outage.Milliseconds()))
 }
 
-// Expire drops targets whose registrations lapsed around an outage and did not
-// come back. It is to be called several times a second.
+// Expire drops targets whose registrations lapsed around an outage of the registry and
+// were not renewed since. Call it several times a second.
 func (v *View) Expire(now time.Time) {
 	v.mu.Lock()
 	lapsed := v.set.Lapsing()
 	v.mu.Unlock()
 	if lapsed > 0 {
-		v.changeTargets(func() { v.set.Expire(now) })
+		v.updateTargets(func() { v.set.Expire(now) })
 	}
 }
