--- a/jobroute/jobroute.go
+++ b/jobroute/jobroute.go
@@ -1,14 +1,14 @@
-// Package jobroute passes a caller's call about a job on to the process that runs the
-// job's partition, which has its state in memory.
+// Package jobroute forwards calls about jobs to the process that runs the job's partition
+// (its owner), which holds the partition's state in memory.
 //
-// Every process can answer such a call by itself, by following the partition on the
-// shared store. With callers that come to any process, all processes then come to
-// follow all partitions, and each result is read as often as there are processes.
-// So the state of a partition is asked for where it is. When the process that runs it does
-// not answer, its backup is asked: one other process, the same for all. Only when that
-// does not answer either is the partition followed here. Who runs it comes from the
-// store's group and may be wrong: whoever is asked answers from the partition itself,
-// never from its role.
+// Every process can serve such a call itself by following the partition on the shared
+// store. Since callers connect to any process, every process would then follow every
+// partition, and each result would be read once per process. A call is therefore forwarded
+// to the owner. If the owner does not answer, the call goes to the partition's backup,
+// which is one other process and the same for all callers. Only if the backup does not
+// answer either does this process follow the partition. Ownership comes from the store's
+// group and may be out of date, so the called process answers from the partition's state
+// and never relies on being its owner.
 package jobroute
 
 import (
@@ -29,72 +29,76 @@
 	"pumiceford/wire"
 )
 
-// Service answers calls about jobs. Its errors are those of jobstore.
+// Service executes calls about jobs. Its errors are those of package jobstore.
 type Service interface {
-	// Accept takes a job in.
+	// Accept stores a new job. It is idempotent.
 	Accept(ctx context.Context, spec *wire.JobSpec) error
-	// Results returns results from a position on, waiting for one when there is none.
+	// Results returns the results that start at position from. If there are none, it waits
+	// for one, at most for wait.
 	Results(ctx context.Context, id string, from int, wait time.Duration) (jobstore.Results, error)
-	// Body returns the body of an item that is not listed yet.
+	// Body returns the body of an item that has no listed result yet.
 	Body(ctx context.Context, id, item string) ([]byte, error)
-	// End ends a job.
+	// End ends the job.
 	End(ctx context.Context, id string) error
 }
 
-// Local is the Service of this process alone.
+// Local is the Service of this process, which forwards nothing.
 type Local interface {
 	Service
-	// Has reports whether a job is known without asking the shared store.
+	// Has reports whether the job is known without a call to the shared store.
 	Has(id string) bool
-	// Unavailable returns the error for a call that is refused while the store is away.
+	// Unavailable returns the error for a call that is refused because the store is
+	// unavailable.
 	Unavailable() error
 }
 
-// Remote carries a call out at another process.
+// Remote sends calls to other processes.
 type Remote interface {
-	// Call fails with a link.DialError when the call was never sent.
+	// Call sends call to the process at addr. It returns a link.DialError if the call was
+	// not sent.
 	Call(ctx context.Context, addr string, call *wire.JobCall) (*wire.JobReply, error)
 }
 
-// Bounds of calls to other processes.
+// Limits of calls to other processes.
 const (
-	// answerWithin bounds a call beyond the time that it waits for results. It takes
-	// some 10 ms, 100 for a job that is taken in while two processes race for the
-	// partition's end. What is left of a caller's half second is enough to answer here.
-	answerWithin = 300 * time.Millisecond
-	// avoidFor is how long a process that did not answer is not asked again: the group
-	// takes 1.6 s to give its partitions to others.
-	avoidFor = 2 * time.Second
+	// callTimeout limits a call, not counting the time that it waits for results. A call
+	// takes about 10 ms, or 100 ms to accept a job while two processes race to append to
+	// the partition. The rest of a caller's 500 ms is enough to serve the call locally.
+	callTimeout = 300 * time.Millisecond
+	// avoidDuration is how long no calls are sent to a process that did not answer. The
+	// group takes 1.6 s to reassign its partitions.
+	avoidDuration = 2 * time.Second
 )
 
-// Config says what a Router works with.
+// Config holds the dependencies of a Router.
 type Config struct {
-	Self        string // address of this process in the group
+	Self        string // member address of this process in the group
 	Local       Local
-	StoreAway   func() bool // whether this process reaches the store by no way
+	StoreAway   func() bool // reports whether this process cannot reach the store at all
 	PartitionOf func(job string) int
 	Remote      Remote
 	Log         logging.Logger
 	Metrics     *metrics.Set
 }
 
-// Router is a Service that asks the process that runs a job's partition first.
+// Router is a Service that forwards each call to the owner of the job's partition or to
+// its backup, and serves it locally otherwise. Its methods are safe for concurrent use.
 type Router struct {
 	cfg Config
 
 	mu     sync.Mutex
-	owners map[int]string // address of the process that runs a partition
-	// members are all of these addresses, each once.
-	members []string
-	avoid   map[string]time.Time // processes that are not asked until then
+	owners map[int]string // address of the owner by partition
+	// members holds the distinct addresses of all owners, sorted.
+	members    []string
+	avoidUntil map[string]time.Time // by address, when calls to the process may resume
 }
 
-// New returns a Router that knows of no other process.
+// New returns a Router without owners; it serves all calls locally until SetOwners.
 func New(cfg Config) *Router {
-	return &Router{cfg: cfg, owners: make(map[int]string), avoid: make(map[string]time.Time)}
+	return &Router{cfg: cfg, owners: make(map[int]string), avoidUntil: make(map[string]time.Time)}
 }
 
-// SetOwners takes who runs the partitions of a topic.
+// SetOwners replaces the owners by those that all lists for the partitions of topic.
 func (r *Router) SetOwners(topic string, all []store.Owner) {
 	owners := make(map[int]string)
 	for _, o := range all {
@@ -105,18 +109,19 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.owners, r.members = owners, slices.Compact(slices.Sorted(maps.Values(owners)))
-	for addr, until := range r.avoid {
+	for addr, until := range r.avoidUntil {
 		if !time.Now().Before(until) {
-			delete(r.avoid, addr)
+			delete(r.avoidUntil, addr)
 		}
 	}
 }
 
-// whom returns the processes to ask for a job, in order: the one that runs its partition,
-// and its backup, the same for all that ask. So when a runner is gone
-// one process more follows its partition, and not each that is asked for its jobs. mine
-// says that this process is one of the two, or that it knows of no backup.
-func (r *Router) whom(job string) (addrs []string, mine bool) {
+// candidates returns the addresses to forward a call about a job to, in order: the owner
+// of its partition and the backup, which is the same for all callers. When an owner fails,
+// only the backup starts to follow the partition, not every process that receives calls
+// about its jobs. local reports that this process is the owner or the backup, or that there
+// is no backup.
+func (r *Router) candidates(job string) (addrs []string, local bool) {
 	part := r.cfg.PartitionOf(job)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,7 +130,7 @@
 		return nil, true
 	}
 	now := time.Now()
-	usable := func(addr string) bool { return !now.Before(r.avoid[addr]) }
+	usable := func(addr string) bool { return !now.Before(r.avoidUntil[addr]) }
 	if owner != "" && usable(owner) {
 		addrs = append(addrs, owner)
 	}
@@ -145,20 +150,21 @@
 	return append(addrs, backup), false
 }
 
-// errDeclined says that the process that was asked cannot reach the store itself.
-var errDeclined = errors.New("asked process does not reach the store")
+// errDeclined is the error for a process that declined a call because it cannot reach the
+// store directly.
+var errDeclined = errors.New("called process declined: it cannot reach the store")
 
-// ask has another process carry a call out, within a bound for each. It reports false
-// when the call has to be carried out here. sent says that the call may have been carried
-// out by a process that gave no answer: whatever the one that answers says of it, and
-// whatever comes of it here.
-func (r *Router) ask(ctx context.Context, job string, within time.Duration, call *wire.JobCall) (reply *wire.JobReply, sent, ok bool) {
-	addrs, mine := r.whom(job)
+// forward sends a call to the candidates in turn, at first with the given timeout and then
+// with callTimeout. ok is false if the call has to be served locally. sent reports that a
+// process which did not answer may have executed the call, whatever the outcome elsewhere
+// or here.
+func (r *Router) forward(ctx context.Context, job string, timeout time.Duration, call *wire.JobCall) (reply *wire.JobReply, sent, ok bool) {
+	addrs, local := r.candidates(job)
 	var unsure *wire.JobReply
 	for _, addr := range addrs {
-		reply, s, ok := r.askOne(ctx, job, addr, within, call)
+		reply, s, ok := r.forwardTo(ctx, job, addr, timeout, call)
 		sent = sent || s
-		if ok && (writes(call) || reply.GetOutcome() != wire.JobReply_UNSURE) {
+		if ok && (isWrite(call) || reply.GetOutcome() != wire.JobReply_UNSURE) {
 			return reply, sent, true
 		}
 		if ok {
@@ -167,25 +173,25 @@
 		if ctx.Err() != nil || r.cfg.StoreAway() {
 			break
 		}
-		within = answerWithin
+		timeout = callTimeout
 		if read := call.GetRead(); read != nil {
-			read.WaitMs = 0 // the first one waited
+			read.WaitMs = 0 // the first call has waited
 		}
 	}
-	if unsure != nil && !mine && !r.cfg.Local.Has(job) {
+	if unsure != nil && !local && !r.cfg.Local.Has(job) {
 		return unsure, sent, true
 	}
 	return nil, sent, false
 }
 
-// askOne asks one process. It reports false when that process gave no answer; sent says
-// that it may have carried the call out nevertheless.
-func (r *Router) askOne(ctx context.Context, job, addr string, within time.Duration, call *wire.JobCall) (reply *wire.JobReply, sent, ok bool) {
-	began := time.Now()
-	one, cancel := context.WithTimeout(ctx, within)
+// forwardTo sends a call to one process. ok is false if the process did not answer or
+// declined; sent then reports that it may have executed the call nevertheless.
+func (r *Router) forwardTo(ctx context.Context, job, addr string, timeout time.Duration, call *wire.JobCall) (reply *wire.JobReply, sent, ok bool) {
+	start := time.Now()
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	call.TimeoutMs = uint32(within.Milliseconds())
-	reply, err := r.cfg.Remote.Call(one, addr, call)
+	call.TimeoutMs = uint32(timeout.Milliseconds())
+	reply, err := r.cfg.Remote.Call(callCtx, addr, call)
 	if err == nil && reply.GetOutcome() == wire.JobReply_DECLINED {
 		err = errDeclined
 	}
@@ -196,80 +202,80 @@
 	var dial *link.DialError
 	sent = !errors.As(err, &dial) && !errors.Is(err, errDeclined)
 	if ctx.Err() != nil {
-		// The caller left; that says nothing of the process that was asked.
+		// The caller disconnected or timed out, which is no failure of the called process.
 		return nil, sent, false
 	}
 	r.mu.Lock()
-	r.avoid[addr] = time.Now().Add(avoidFor)
+	r.avoidUntil[addr] = time.Now().Add(avoidDuration)
 	r.mu.Unlock()
 	r.cfg.Metrics.Count("job_call_not_passed_on")
-	r.cfg.Log.Warn("call about a job is not answered by the process that was asked", logging.F("job", job),
-		logging.F("asked", addr), logging.F("took_ms", time.Since(began).Milliseconds()), logging.F("error", err.Error()))
+	r.cfg.Log.Warn("job call to another process failed", logging.F("job", job),
+		logging.F("asked", addr), logging.F("took_ms", time.Since(start).Milliseconds()), logging.F("error", err.Error()))
 	return nil, sent, false
 }
 
-// Accept implements Service. To take a job in twice is to take it in once, so it is
-// tried here when no other process answers.
+// Accept implements Service. Accepting a job is idempotent, so the call is served locally
+// if no other process answers.
 func (r *Router) Accept(ctx context.Context, spec *wire.JobSpec) error {
 	call := &wire.JobCall{Kind: &wire.JobCall_Accept{Accept: spec}}
-	return r.write(ctx, spec.GetId(), call, func() error { return r.cfg.Local.Accept(ctx, spec) })
+	return r.forwardWrite(ctx, spec.GetId(), call, func() error { return r.cfg.Local.Accept(ctx, spec) })
 }
 
 // End implements Service.
 func (r *Router) End(ctx context.Context, id string) error {
 	call := &wire.JobCall{Kind: &wire.JobCall_End{End: id}}
-	return r.write(ctx, id, call, func() error { return r.cfg.Local.End(ctx, id) })
+	return r.forwardWrite(ctx, id, call, func() error { return r.cfg.Local.End(ctx, id) })
 }
 
-// write has a call that writes carried out elsewhere, or here when no other process
+// forwardWrite forwards a call that writes, and calls serveLocal if no other process
 // answers.
-func (r *Router) write(ctx context.Context, job string, call *wire.JobCall, here func() error) error {
-	reply, sent, ok := r.ask(ctx, job, answerWithin, call)
+func (r *Router) forwardWrite(ctx context.Context, job string, call *wire.JobCall, serveLocal func() error) error {
+	reply, sent, ok := r.forward(ctx, job, callTimeout, call)
 	if ok {
-		return unlessSent(failure(reply), sent)
+		return markIfSent(decodeError(reply), sent)
 	}
-	if err := r.refused(job); err != nil {
-		return unlessSent(err, sent)
+	if err := r.checkLocal(job); err != nil {
+		return markIfSent(err, sent)
 	}
-	return unlessSent(here(), sent)
+	return markIfSent(serveLocal(), sent)
 }
 
-// unlessSent adds to the error of a call that another process was sent before that it may
-// have been carried out there.
-func unlessSent(err error, sent bool) error {
+// markIfSent marks an error that says nothing was written as jobstore.ErrUnknownEffect if
+// another process may have executed the call before.
+func markIfSent(err error, sent bool) error {
 	if err != nil && sent && errors.Is(err, jobstore.ErrUnsure) {
 		return errors.Mark(err, jobstore.ErrUnknownEffect)
 	}
 	return err
 }
 
-// answerable reports whether there is any use in looking for a job here. In an outage who runs
-// the partitions is unsure, and whoever was asked began to follow them: when the store
-// returned, all processes read nearly all partitions whole.
-func answerable(local Local, away func() bool, id string) bool {
-	return local.Has(id) || !away()
+// canServeLocally reports whether a call about a job may be served by this process: the
+// job is known here or the store is reachable. During an outage owners are uncertain. If
+// each called process started to follow the partition, all processes would read almost all
+// partitions in full once the store returns.
+func canServeLocally(local Local, unavailable func() bool, id string) bool {
+	return local.Has(id) || !unavailable()
 }
 
-// refused returns the error for a call that there is no use in carrying out here, nil
-// when there is.
-func (r *Router) refused(job string) error {
-	if answerable(r.cfg.Local, r.cfg.StoreAway, job) {
+// checkLocal returns the error for a call that cannot be served locally, or nil if it can.
+func (r *Router) checkLocal(job string) error {
+	if canServeLocally(r.cfg.Local, r.cfg.StoreAway, job) {
 		return nil
 	}
 	err := r.cfg.Local.Unavailable()
 	r.cfg.Metrics.Count("job_call_not_tried")
-	r.cfg.Log.Warn("call about a job is refused at once", logging.F("job", job), logging.F("error", err.Error()))
+	r.cfg.Log.Warn("job call refused: store unavailable and job not known here", logging.F("job", job), logging.F("error", err.Error()))
 	return err
 }
 
 // Results implements Service.
 func (r *Router) Results(ctx context.Context, id string, from int, wait time.Duration) (jobstore.Results, error) {
 	read := &wire.JobRead{Job: id, From: uint32(from), WaitMs: uint32(wait.Milliseconds())}
-	reply, _, ok := r.ask(ctx, id, wait+answerWithin, &wire.JobCall{Kind: &wire.JobCall_Read{Read: read}})
+	reply, _, ok := r.forward(ctx, id, wait+callTimeout, &wire.JobCall{Kind: &wire.JobCall_Read{Read: read}})
 	if ok {
-		return results(reply), failure(reply)
+		return decodeResults(reply), decodeError(reply)
 	}
-	if err := r.refused(id); err != nil {
+	if err := r.checkLocal(id); err != nil {
 		return jobstore.Results{}, err
 	}
 	return r.cfg.Local.Results(ctx, id, from, wait)
@@ -278,11 +284,11 @@
 // Body implements Service.
 func (r *Router) Body(ctx context.Context, id, item string) ([]byte, error) {
 	body := &wire.JobBody{Job: id, Item: item}
-	reply, _, ok := r.ask(ctx, id, answerWithin, &wire.JobCall{Kind: &wire.JobCall_Body{Body: body}})
+	reply, _, ok := r.forward(ctx, id, callTimeout, &wire.JobCall{Kind: &wire.JobCall_Body{Body: body}})
 	if ok {
-		return reply.GetBody(), failure(reply)
+		return reply.GetBody(), decodeError(reply)
 	}
-	if err := r.refused(id); err != nil {
+	if err := r.checkLocal(id); err != nil {
 		return nil, err
 	}
 	return r.cfg.Local.Body(ctx, id, item)
--- a/jobroute/jobroute_test.go
+++ b/jobroute/jobroute_test.go
@@ -23,71 +23,70 @@
 )
 
 const (
-	topic = "jobs"
-	parts = 8
+	topic         = "jobs"
+	numPartitions = 8
 )
 
-// process is one of several that share a store.
+// process is one of several processes that share a store.
 type process struct {
 	name   string
 	jobs   *jobstore.Store
 	router *jobroute.Router
 	server *jobroute.Server
-	// reach says what becomes of calls to this process.
-	reach atomic.Int32
-	asked atomic.Int32
+	mode   atomic.Int32 // callMode of calls to this process
+	calls  atomic.Int32 // received
 }
 
-// reach is what becomes of a call to a process.
-type reach = int32
+// callMode is how a process responds to calls.
+type callMode = int32
 
 const (
-	answers    reach = iota
-	gone             // it cannot be connected to
-	frozen           // it takes the call and does nothing
-	loseAnswer       // it carries the call out, and its answer is lost
-	declines         // it does not reach the store
+	serving          callMode = iota
+	unreachable               // connections fail
+	unresponsive              // calls are received and not answered
+	responseLost              // calls are executed and their responses lost
+	storeUnreachable          // the process cannot reach the store
 )
 
-// fleet is all processes by name. It implements jobroute.Remote.
-type fleet map[string]*process
+// cluster holds all processes by name. It implements jobroute.Remote.
+type cluster map[string]*process
 
-var errLost = errors.New("connection lost")
+var errConnectionLost = errors.New("connection lost")
 
-func (f fleet) Call(ctx context.Context, addr string, call *wire.JobCall) (*wire.JobReply, error) {
-	p := f[addr]
-	p.asked.Add(1)
-	switch p.reach.Load() {
-	case gone:
-		return nil, &link.DialError{Addr: addr, Cause: errLost}
-	case frozen:
+func (c cluster) Call(ctx context.Context, addr string, call *wire.JobCall) (*wire.JobReply, error) {
+	p := c[addr]
+	p.calls.Add(1)
+	switch p.mode.Load() {
+	case unreachable:
+		return nil, &link.DialError{Addr: addr, Cause: errConnectionLost}
+	case unresponsive:
 		<-ctx.Done()
 		return nil, ctx.Err()
-	case loseAnswer:
+	case responseLost:
 		p.server.Serve(ctx, call)
-		return nil, errLost
-	case answers, declines:
+		return nil, errConnectionLost
+	case serving, storeUnreachable:
 	}
 	return p.server.Serve(ctx, call), nil
 }
 
-// start starts processes; the first one runs all partitions.
-func start(ctx context.Context, s *sharedstore.Store, count int) []*process {
-	all := make(fleet)
+// startProcesses starts count processes, of which the first owns all partitions.
+func startProcesses(ctx context.Context, s *sharedstore.Store, count int) []*process {
+	all := make(cluster)
 	var out []*process
 	var owners []store.Owner
-	for n := range parts {
+	for n := range numPartitions {
 		owners = append(owners, store.Owner{Partition: store.Partition{Topic: topic, Number: n}, Member: "p0"})
 	}
 	for i := range count {
 		p := &process{name: fmt.Sprint("p", i)}
 		p.jobs = jobstore.New(ctx, s.For(p.name), jobstore.Settings{
-			Topic: topic, ProgressTopic: "progress", Partitions: parts, CallBytes: 2 << 20, Keep: time.Minute,
+			Topic: topic, ProgressTopic: "progress", Partitions: numPartitions, CallBytes: 2 << 20, Keep: time.Minute,
 		}, logging.Logger{})
-		away := func() bool { return p.reach.Load() == declines }
-		p.server = &jobroute.Server{Local: p.jobs, StoreAway: away, Reaches: func() bool { return !away() }}
+		unavailable := func() bool { return p.mode.Load() == storeUnreachable }
+		p.server = &jobroute.Server{Local: p.jobs, StoreAway: unavailable, Reaches: func() bool { return !unavailable() }}
 		p.router = jobroute.New(jobroute.Config{
-			Self: p.name, Local: p.jobs, StoreAway: away, PartitionOf: p.jobs.PartitionOf, Remote: all, Metrics: metrics.New(p.name),
+			Self: p.name, Local: p.jobs, StoreAway: unavailable, PartitionOf: p.jobs.PartitionOf, Remote: all, Metrics: metrics.New(p.name),
 		})
 		p.router.SetOwners(topic, owners)
 		all[p.name] = p
@@ -96,34 +95,37 @@
 	return out
 }
 
-func bubble(t *testing.T, fn func(ctx context.Context, t *testing.T, s *sharedstore.Store)) {
+// runInBubble runs fn in a synctest bubble with an empty store, and waits for its goroutines
+// to end.
+func runInBubble(t *testing.T, fn func(ctx context.Context, t *testing.T, s *sharedstore.Store)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		fn(ctx, t, sharedstore.New(parts))
+		fn(ctx, t, sharedstore.New(numPartitions))
 		cancel()
 		synctest.Wait()
 	})
 }
 
-func spec(id string) *wire.JobSpec {
+// newSpec returns a job with one item.
+func newSpec(id string) *wire.JobSpec {
 	return &wire.JobSpec{
 		Id: id, Host: "h", Path: "/p/", AcceptedUnixMs: time.Now().UnixMilli(),
 		Items: []*wire.JobItem{{Id: id + "-0", Path: "/p/x", Body: []byte("body")}},
 	}
 }
 
-// Symptom: at 133 processes each link carries the results of the whole fleet, and the
-// store answers 4,400 calls a second for 118 items.
-// Sequence: callers submit and read jobs at any process, some times a second each.
-// Cause: each process followed each partition that it was asked for. Here 40 processes
-// are asked for 16 jobs, and the store for 72 calls.
-func TestReadersDoNotFollowThePartitions(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
-		all := start(ctx, s, 40)
+// Guards against every process following each partition whose jobs it is asked about, while
+// callers submit and read jobs at any process several times a second. With 133 processes
+// each link then carried the results of the whole fleet, and the store served 4,400 calls
+// per second for 118 items. Here 40 processes are asked about 16 jobs, for which the store
+// gets 72 calls.
+func TestReadersDoNotFollowPartitions(t *testing.T) {
+	runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
+		all := startProcesses(ctx, s, 40)
 		for n := range 16 {
 			id := fmt.Sprint("job", n)
-			if err := all[n].router.Accept(ctx, spec(id)); err != nil {
+			if err := all[n].router.Accept(ctx, newSpec(id)); err != nil {
 				t.Fatal(err)
 			}
 			for _, p := range all {
@@ -146,139 +148,136 @@
 				t.Errorf("%s follows %d partitions", p.name, p.jobs.Followed())
 			}
 		}
-		const most = 200
-		t.Logf("%d calls", s.Calls())
-		if s.Calls() > most {
-			t.Errorf("%d calls of the store", s.Calls())
+		const maxCalls = 200
+		t.Logf("%d store calls", s.Calls())
+		if s.Calls() > maxCalls {
+			t.Errorf("%d store calls, more than allowed", s.Calls())
 		}
 	})
 }
 
-// Symptom: jobs of a third of all partitions are refused, or held past their time.
-// Sequence: the process that runs the partition has gone, is frozen, loses its answers
-// or does not reach the store, and the group still names it.
-// Cause: only that process was asked.
-func TestWithoutItsRunnerAJobIsServedHere(t *testing.T) {
-	for _, how := range []reach{gone, frozen, loseAnswer, declines} {
-		bubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
-			all := start(ctx, s, 2)
+// Guards against jobs of a failed owner's partitions, a third of all, being refused or
+// delayed past their deadline because only the owner is asked. The owner is unreachable or
+// unresponsive, its responses are lost or it cannot reach the store, and the group still
+// lists it.
+func TestServesJobLocallyWithoutItsOwner(t *testing.T) {
+	for _, mode := range []callMode{unreachable, unresponsive, responseLost, storeUnreachable} {
+		runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
+			all := startProcesses(ctx, s, 2)
 			owner, other := all[0], all[1]
-			owner.reach.Store(how)
-			began := time.Now()
-			if err := other.router.Accept(ctx, spec("job")); err != nil {
-				t.Fatalf("%d: %v", how, err)
+			owner.mode.Store(mode)
+			start := time.Now()
+			if err := other.router.Accept(ctx, newSpec("job")); err != nil {
+				t.Fatalf("mode %d: %v", mode, err)
 			}
-			if took := time.Since(began); took > 400*time.Millisecond {
-				t.Errorf("%d: taken in after %s", how, took)
+			if took := time.Since(start); took > 400*time.Millisecond {
+				t.Errorf("mode %d: accepted only after %s", mode, took)
 			}
-			asked := owner.asked.Load()
+			calls := owner.calls.Load()
 			res, err := other.router.Results(ctx, "job", 0, 0)
 			if err != nil || res.Total != 1 {
-				t.Errorf("%d: %+v, %v", how, res, err)
+				t.Errorf("mode %d: got %+v, %v", mode, res, err)
 			}
-			if owner.asked.Load() != asked {
-				t.Errorf("%d: asked again at once", how)
+			if owner.calls.Load() != calls {
+				t.Errorf("mode %d: failed owner called again at once", mode)
 			}
 			time.Sleep(3 * time.Second)
-			owner.reach.Store(answers)
-			if _, err := other.router.Results(ctx, "job", 0, 0); err != nil || owner.asked.Load() == asked {
-				t.Errorf("%d: not asked any more, %v", how, err)
+			owner.mode.Store(serving)
+			if _, err := other.router.Results(ctx, "job", 0, 0); err != nil || owner.calls.Load() == calls {
+				t.Errorf("mode %d: recovered owner not called again, %v", mode, err)
 			}
 		})
 	}
 }
 
-// Symptom: a job runs whose caller was told that it would not.
-// Sequence: it is passed on and taken in; the answer is lost; the store turns this
-// process away, which so far knows that it has written nothing.
-// Cause: what the other process may have done was forgotten.
-func TestNotRunIsNotSaidOfAJobThatWasPassedOn(t *testing.T) {
-	for _, how := range []reach{gone, loseAnswer, declines} {
-		bubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
-			all := start(ctx, s, 2)
-			all[0].reach.Store(how)
+// Guards against telling a caller that a job will not run although it may. The job is
+// forwarded and accepted, the response is lost, and the store then refuses the write of this
+// process, which by itself has written nothing.
+func TestReportsUnknownEffectOnlyAfterLostResponse(t *testing.T) {
+	for _, mode := range []callMode{unreachable, responseLost, storeUnreachable} {
+		runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
+			all := startProcesses(ctx, s, 2)
+			all[0].mode.Store(mode)
 			s.SetFault("p1", sharedstore.Refuse)
-			err := all[1].router.Accept(ctx, spec("job"))
+			err := all[1].router.Accept(ctx, newSpec("job"))
 			if err == nil {
-				t.Fatal("taken in by a store that refuses")
+				t.Fatal("job accepted although the store refuses calls")
 			}
-			mayRun := how == loseAnswer
+			mayRun := mode == responseLost
 			if errors.Is(err, jobstore.ErrUnknownEffect) != mayRun {
-				t.Errorf("%d: %v", how, err)
+				t.Errorf("mode %d: %v", mode, err)
 			}
 		})
 	}
 }
 
-// Symptom: as above.
-// Sequence: the runner takes the job in and its answer is lost; its backup
-// is turned away by the store, and rightly says that it has written nothing.
-// Cause: its word was passed on as if it were about the whole call.
-func TestNotRunIsNotSaidForTheBackupAlone(t *testing.T) {
-	for _, how := range []reach{gone, loseAnswer} {
-		bubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
-			all := start(ctx, s, 12)
-			share(all)
+// Guards against the same fault by way of the backup. The owner accepts the job and its
+// response is lost; the store refuses the backup, whose reply that it has written nothing
+// is true of the backup only, not of the whole call.
+func TestBackupRefusalKeepsUnknownEffect(t *testing.T) {
+	for _, mode := range []callMode{unreachable, responseLost} {
+		runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
+			all := startProcesses(ctx, s, 12)
+			spreadPartitions(all)
 			part := all[0].jobs.PartitionOf("job")
 			for n, p := range all {
 				if n != part {
 					s.SetFault(p.name, sharedstore.Refuse)
 				}
 			}
-			all[part].reach.Store(how)
-			accept := all[11].router.Accept(ctx, spec("job"))
+			all[part].mode.Store(mode)
+			accept := all[11].router.Accept(ctx, newSpec("job"))
 			end := all[11].router.End(ctx, "job")
 			for what, err := range map[string]error{"accept": accept, "end": end} {
-				mayRun := how == loseAnswer && what == "accept"
+				mayRun := mode == responseLost && what == "accept"
 				if err == nil || errors.Is(err, jobstore.ErrUnknownEffect) != mayRun {
-					t.Errorf("%d, %s: %v", how, what, err)
+					t.Errorf("mode %d, %s: %v", mode, what, err)
 				}
 			}
 		})
 	}
 }
 
-// What a process says of a job reaches the caller as it was said.
-func TestAnswersArePassedOnAsTheyAre(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
-		r := start(ctx, s, 2)[1].router
+// The error of the process that serves a call reaches the caller unchanged.
+func TestForwardsRepliesUnchanged(t *testing.T) {
+	runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
+		r := startProcesses(ctx, s, 2)[1].router
 		if _, err := r.Results(ctx, "job", 0, 0); !errors.Is(err, jobstore.ErrUnknownJob) {
-			t.Errorf("no such job: %v", err)
+			t.Errorf("results of an unknown job: %v", err)
 		}
 		if err := r.End(ctx, "job"); !errors.Is(err, jobstore.ErrUnknownJob) {
-			t.Errorf("end of no job: %v", err)
+			t.Errorf("end of an unknown job: %v", err)
 		}
-		if err := r.Accept(ctx, spec("job")); err != nil {
+		if err := r.Accept(ctx, newSpec("job")); err != nil {
 			t.Fatal(err)
 		}
-		other := spec("job")
+		other := newSpec("job")
 		other.Items[0].Body = []byte("other")
 		if err := r.Accept(ctx, other); !errors.Is(err, jobstore.ErrOtherJob) {
-			t.Errorf("another job: %v", err)
+			t.Errorf("other job with the same ID: %v", err)
 		}
 		if _, err := r.Body(ctx, "job", "none"); !errors.Is(err, jobstore.ErrUnknownJob) {
-			t.Errorf("no such item: %v", err)
+			t.Errorf("body of an unknown item: %v", err)
 		}
-		for n := range parts {
+		for n := range numPartitions {
 			s.SetDown(store.Partition{Topic: topic, Number: n}, true)
 		}
 		var away *jobstore.AwayError
-		if err := r.Accept(ctx, spec("late")); !errors.As(err, &away) || away.ComeBack <= 0 || errors.Is(err, jobstore.ErrUnknownEffect) {
-			t.Errorf("store away: %v", err)
+		if err := r.Accept(ctx, newSpec("late")); !errors.As(err, &away) || away.ComeBack <= 0 || errors.Is(err, jobstore.ErrUnknownEffect) {
+			t.Errorf("store unavailable: %v", err)
 		}
 	})
 }
 
-// Symptom: through an outage of the store no result is told, though the process that ran
-// the items has them.
-// Sequence: a job is done; the store falls silent for all; callers read at other processes,
-// which do not follow the partition.
-// Cause: a process that does not reach the store declined whatever it was asked.
-func TestKnownResultsAreToldThroughAnOutage(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
-		all := start(ctx, s, 2)
+// Guards against results being withheld during an outage of the store although the owner has
+// them. A job is complete, the store stops answering all processes, and callers read at
+// processes that do not follow the partition. A process that cannot reach the store must
+// still serve the results that it knows.
+func TestServesKnownResultsDuringOutage(t *testing.T) {
+	runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
+		all := startProcesses(ctx, s, 2)
 		owner, other := all[0], all[1]
-		if err := other.router.Accept(ctx, spec("job")); err != nil {
+		if err := other.router.Accept(ctx, newSpec("job")); err != nil {
 			t.Fatal(err)
 		}
 		if err := owner.jobs.List(ctx, owner.jobs.PartitionOf("job"), []jobs.Outcome{{Job: "job", Text: []byte("text")}}); err != nil {
@@ -287,26 +286,25 @@
 		for _, p := range all {
 			s.SetFault(p.name, sharedstore.Silent)
 		}
-		owner.reach.Store(declines)
+		owner.mode.Store(storeUnreachable)
 		res, err := other.router.Results(ctx, "job", 0, time.Second)
 		if err != nil || len(res.Items) != 1 || string(res.Items[0].Text) != "text" {
-			t.Errorf("%+v, %v", res, err)
+			t.Errorf("got results %+v, %v", res, err)
 		}
-		if err := other.router.Accept(ctx, spec("next")); !errors.Is(err, jobstore.ErrUnsure) && !errors.Is(err, jobstore.ErrUnknownEffect) {
-			t.Errorf("taken in by a silent store: %v", err)
+		if err := other.router.Accept(ctx, newSpec("next")); !errors.Is(err, jobstore.ErrUnsure) && !errors.Is(err, jobstore.ErrUnknownEffect) {
+			t.Errorf("accept while the store does not answer: %v", err)
 		}
 	})
 }
 
-// Symptom: results are not told although this process reaches the store.
-// Sequence: the process that runs the partition is cut off from the store alone and has
-// nothing at the position that is asked for.
-// Cause: its doubt was passed on as the answer.
-func TestAnUnsureAnswerIsLookedUpHere(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
-		all := start(ctx, s, 3)
+// Guards against results being withheld although this process reaches the store. Only the
+// owner is cut off from the store and has no result at the requested position; its reply
+// UNSURE must not be the final answer.
+func TestUnsureReplyIsResolvedLocally(t *testing.T) {
+	runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
+		all := startProcesses(ctx, s, 3)
 		owner, other, third := all[0], all[1], all[2]
-		if err := other.router.Accept(ctx, spec("job")); err != nil {
+		if err := other.router.Accept(ctx, newSpec("job")); err != nil {
 			t.Fatal(err)
 		}
 		s.SetFault(owner.name, sharedstore.Refuse)
@@ -316,112 +314,108 @@
 		}
 		res, err := other.router.Results(ctx, "job", 0, 0)
 		if err != nil || len(res.Items) != 1 {
-			t.Errorf("%+v, %v", res, err)
+			t.Errorf("got results %+v, %v", res, err)
 		}
 	})
 }
 
-// Symptom: ten seconds after an outage of the store no process can read a job, and half
-// a minute later none can either.
-// Sequence: all processes lose the store; callers go on reading their jobs at all of
-// them; the store returns, and turns away what is beyond its rate.
-// Cause: the process that runs the partition was unsure, so each process that was asked
-// followed the partition itself. Together they read more than the store serves, also
-// the process that could have told them was turned away, and none stopped.
-func TestReadersDoNotKeepTheStoreBusyAfterAnOutage(t *testing.T) {
+// Guards against an overload of the store that outlasts an outage: 10 s after it, and
+// again 30 s later, no process could read a job. All processes lose the store while callers
+// keep reading jobs at all of them; the store returns with a limited rate. If each called process follows
+// the partition because the owner is unsure, together they read more than the store serves,
+// the owner is throttled as well, and none of them stops.
+func TestReadersDoNotOverloadStoreAfterOutage(t *testing.T) {
 	const (
 		processes      = 40
 		readsPerSecond = 600
 		outage         = 5 * time.Second
 	)
-	bubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
-		all := start(ctx, s, processes)
+	runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
+		all := startProcesses(ctx, s, processes)
 		var ids []string
 		for n := range 16 {
 			ids = append(ids, fmt.Sprint("job", n))
-			if err := all[n].router.Accept(ctx, spec(ids[n])); err != nil {
+			if err := all[n].router.Accept(ctx, newSpec(ids[n])); err != nil {
 				t.Fatal(err)
 			}
 		}
 		s.SetReadsPerSecond(readsPerSecond)
-		go writeOn(ctx, s)
-		go all[0].holdAll(ctx)
-		failed := &failures{}
+		go writeLoop(ctx, s)
+		go all[0].keepPartitionsOpen(ctx)
+		failed := &failureCounter{}
 		for _, p := range all {
-			go p.readOn(ctx, ids, failed)
+			go p.readLoop(ctx, ids, failed)
 		}
 		time.Sleep(2 * time.Second)
-		setReach(s, all, sharedstore.Refuse, declines)
+		setMode(s, all, sharedstore.Refuse, storeUnreachable)
 		time.Sleep(outage)
-		setReach(s, all, sharedstore.None, answers)
-		const backAfter = 3 * time.Second
-		time.Sleep(backAfter)
-		failed.take()
+		setMode(s, all, sharedstore.None, serving)
+		const recoveryTime = 3 * time.Second
+		time.Sleep(recoveryTime)
+		failed.reset()
 		calls := s.Calls()
 		time.Sleep(time.Second)
-		if n := failed.take(); n > 0 {
-			t.Errorf("%d reads failed within a second, %s after the outage", n, backAfter)
+		if n := failed.reset(); n > 0 {
+			t.Errorf("%d reads failed within a second, %s after the outage", n, recoveryTime)
 		}
 		if n := s.Calls() - calls; n > readsPerSecond {
-			t.Errorf("%d calls of the store in that second", n)
+			t.Errorf("%d store calls in that second, more than its rate", n)
 		}
 	})
 }
 
-// Symptom: after an outage all links of 30 Mbit/s are full for seconds; requests are late, and
-// a job that was ended still runs, since its runner is told nothing.
-// Sequence: the store is away; callers submit and read at all processes, which all lack
-// the job's runner; the store returns.
-// Cause: whoever took a call followed the job's partition by itself, and read it whole, two
-// megabytes each, when the store was back. Here 40 processes follow 8 partitions.
-func TestAnOutageMakesNobodyFollow(t *testing.T) {
+// Guards against links of 30 Mbit/s being saturated for seconds after an outage, so that
+// requests are late and an ended job runs on because its owner does not learn of the end.
+// The store is unavailable while callers submit and read at all processes, none of which
+// reaches the job's owner. If each called process follows the partition, it reads all of it,
+// 2 MB, once the store returns. Here 40 processes share 8 partitions.
+func TestOutageDoesNotSpreadFollowers(t *testing.T) {
 	const (
 		processes = 40
 		outage    = 5 * time.Second
 	)
-	bubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
-		all := start(ctx, s, processes)
-		share(all)
+	runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
+		all := startProcesses(ctx, s, processes)
+		spreadPartitions(all)
 		var ids []string
 		for n := range 16 {
 			ids = append(ids, fmt.Sprint("job", n))
-			if err := all[n].router.Accept(ctx, spec(ids[n])); err != nil {
+			if err := all[n].router.Accept(ctx, newSpec(ids[n])); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for _, p := range all {
-			go p.submitOn(ctx)
-			go p.readOn(ctx, ids, &failures{})
+			go p.submitLoop(ctx)
+			go p.readLoop(ctx, ids, &failureCounter{})
 		}
-		setReach(s, all, sharedstore.Refuse, declines)
+		setMode(s, all, sharedstore.Refuse, storeUnreachable)
 		time.Sleep(outage)
-		setReach(s, all, sharedstore.None, answers)
+		setMode(s, all, sharedstore.None, serving)
 		time.Sleep(3 * time.Second)
-		follow := 0
+		followed := 0
 		for _, p := range all {
-			follow += p.jobs.Followed()
+			followed += p.jobs.Followed()
 		}
-		// Who runs a partition, and its backup: two at times, since those that
-		// have just declined a call are not asked.
-		const most = 3 * parts
-		if follow > most {
-			t.Errorf("%d partitions are followed by all together, of which %d may be", follow, most)
+		// The owner and the backup follow a partition, and at times a second backup, since
+		// processes that have just declined a call are avoided.
+		const maxFollowed = 3 * numPartitions
+		if followed > maxFollowed {
+			t.Errorf("all processes together follow %d partitions, want at most %d", followed, maxFollowed)
 		}
 	})
 }
 
-// Symptom: all processes follow the partition of one that has died.
-// Sequence: it is gone, the group still names it; callers read at all processes.
-// Cause: each one looked the job up by itself.
-func TestOnlyTheBackupFollowsWhenARunnerIsGone(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
-		all := start(ctx, s, 20)
-		share(all)
+// Guards against every process following the partition of an owner that has died, while
+// the group still lists it and callers read at all processes.
+func TestOnlyBackupFollowsPartitionOfDeadOwner(t *testing.T) {
+	runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
+		all := startProcesses(ctx, s, 20)
+		spreadPartitions(all)
 		part := all[0].jobs.PartitionOf("job")
-		if err := all[19].router.Accept(ctx, spec("job")); err != nil {
+		if err := all[19].router.Accept(ctx, newSpec("job")); err != nil {
 			t.Fatal(err)
 		}
-		all[part].reach.Store(gone)
+		all[part].mode.Store(unreachable)
 		before := 0
 		for _, p := range all {
 			before += p.jobs.Followed()
@@ -439,15 +433,15 @@
 			after += p.jobs.Followed()
 		}
 		if after > before+1 {
-			t.Errorf("%d more partitions are followed", after-before)
+			t.Errorf("%d more partitions are followed, want at most 1", after-before)
 		}
 	})
 }
 
-// share has the first processes run one partition each.
-func share(all []*process) {
+// spreadPartitions makes each of the first processes the owner of one partition.
+func spreadPartitions(all []*process) {
 	var owners []store.Owner
-	for n := range parts {
+	for n := range numPartitions {
 		owners = append(owners, store.Owner{Partition: store.Partition{Topic: topic, Number: n}, Member: all[n].name})
 	}
 	for _, p := range all {
@@ -455,42 +449,42 @@
 	}
 }
 
-// submitOn submits a new job once a second, as a caller that is refused does.
-func (p *process) submitOn(ctx context.Context) {
+// submitLoop submits a new job once a second, like a caller that is refused.
+func (p *process) submitLoop(ctx context.Context) {
 	for n := 0; wait.For(ctx, time.Second) == nil; n++ {
-		_ = p.router.Accept(ctx, spec(fmt.Sprint(p.name, "-", n))) // refused in an outage
+		_ = p.router.Accept(ctx, newSpec(fmt.Sprint(p.name, "-", n))) // fails during an outage
 	}
 }
 
-// setReach sets what happens to the calls of all processes, to the store and to each
-// other.
-func setReach(s *sharedstore.Store, all []*process, f sharedstore.Fault, r reach) {
+// setMode sets the fault of all processes' calls to the store and the mode of their calls to
+// each other.
+func setMode(s *sharedstore.Store, all []*process, f sharedstore.Fault, m callMode) {
 	for _, p := range all {
 		s.SetFault(p.name, f)
-		p.reach.Store(r)
+		p.mode.Store(m)
 	}
 }
 
-// writeOn has each partition change ten times a second.
-func writeOn(ctx context.Context, s *sharedstore.Store) {
+// writeLoop changes each partition ten times a second.
+func writeLoop(ctx context.Context, s *sharedstore.Store) {
 	for n := 0; wait.For(ctx, 100*time.Millisecond) == nil; n++ {
-		for number := range parts {
+		for number := range numPartitions {
 			s.Put(store.Partition{Topic: topic, Number: number}, fmt.Sprint("unrelated", n%10), []byte{1})
 		}
 	}
 }
 
-// holdAll keeps the partitions in use as the process does that runs them.
-func (p *process) holdAll(ctx context.Context) {
+// keepPartitionsOpen keeps all partitions in use, as their owner does.
+func (p *process) keepPartitionsOpen(ctx context.Context) {
 	for wait.For(ctx, 100*time.Millisecond) == nil {
-		for number := range parts {
+		for number := range numPartitions {
 			p.jobs.Open(number)
 		}
 	}
 }
 
-// readOn reads jobs five times a second as callers do.
-func (p *process) readOn(ctx context.Context, ids []string, failed *failures) {
+// readLoop reads jobs five times a second, like callers, and counts failed reads.
+func (p *process) readLoop(ctx context.Context, ids []string, failed *failureCounter) {
 	for n := 0; wait.For(ctx, 200*time.Millisecond) == nil; n++ {
 		if _, err := p.router.Results(ctx, ids[n%len(ids)], 0, 0); err != nil && ctx.Err() == nil {
 			failed.add()
@@ -498,30 +492,29 @@
 	}
 }
 
-// failures counts reads that failed.
-type failures struct{ n atomic.Int64 }
+// failureCounter counts failed reads.
+type failureCounter struct{ n atomic.Int64 }
 
-func (f *failures) add()        { f.n.Add(1) }
-func (f *failures) take() int64 { return f.n.Swap(0) }
+func (f *failureCounter) add()         { f.n.Add(1) }
+func (f *failureCounter) reset() int64 { return f.n.Swap(0) }
 
-// Symptom: calls are answered here although the process that runs their jobs is well.
-// Sequence: a caller that waits for a result leaves before there is one.
-// Cause: the end of the call was taken for a failure of the process that was asked.
-func TestACallerThatLeavesIsNoFailure(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
-		all := start(ctx, s, 2)
+// Guards against avoiding a healthy owner: a caller that waits for a result disconnects
+// before there is one, which must not count as a failure of the called process.
+func TestCallerDisconnectIsNotAFailure(t *testing.T) {
+	runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
+		all := startProcesses(ctx, s, 2)
 		owner, other := all[0], all[1]
-		if err := other.router.Accept(ctx, spec("job")); err != nil {
+		if err := other.router.Accept(ctx, newSpec("job")); err != nil {
 			t.Fatal(err)
 		}
-		owner.reach.Store(frozen)
-		leaves, leave := context.WithTimeout(ctx, 100*time.Millisecond)
-		defer leave()
-		_, _ = other.router.Results(leaves, "job", 0, time.Second) // nobody reads what comes
-		owner.reach.Store(answers)
-		asked := owner.asked.Load()
-		if _, err := other.router.Results(ctx, "job", 0, 0); err != nil || owner.asked.Load() == asked {
-			t.Errorf("the process is avoided, %v", err)
+		owner.mode.Store(unresponsive)
+		callerCtx, disconnect := context.WithTimeout(ctx, 100*time.Millisecond)
+		defer disconnect()
+		_, _ = other.router.Results(callerCtx, "job", 0, time.Second) // only the avoidance matters
+		owner.mode.Store(serving)
+		calls := owner.calls.Load()
+		if _, err := other.router.Results(ctx, "job", 0, 0); err != nil || owner.calls.Load() == calls {
+			t.Errorf("healthy owner is avoided, %v", err)
 		}
 	})
 }
--- a/jobroute/reply.go
+++ b/jobroute/reply.go
@@ -10,52 +10,52 @@
 	"pumiceford/wire"
 )
 
-// Server carries calls out that other processes pass on.
+// Server executes calls that other processes forward.
 type Server struct {
 	Local     Local
-	StoreAway func() bool // whether this process reaches the store by no way
-	// Reaches reports whether this process reaches the store by itself. While it does
-	// not, whoever wants to write is better off on its own. Results that are known here
-	// are told all the same: through an outage nobody else may be able to.
+	StoreAway func() bool // reports whether this process cannot reach the store at all
+	// Reaches reports whether this process reaches the store directly. While it does not,
+	// it declines writes, which the calling process may be able to do itself. It still
+	// serves results that it knows, since during an outage no other process may have them.
 	Reaches func() bool
 }
 
-// Serve carries one call out. It answers from this process alone, so that two processes
-// which take each other for the right one do not ask in a circle.
+// Serve executes one call. It never forwards the call, so that two processes which take
+// each other for the owner do not loop.
 func (s *Server) Serve(ctx context.Context, call *wire.JobCall) *wire.JobReply {
-	if writes(call) && !s.Reaches() {
+	if isWrite(call) && !s.Reaches() {
 		return &wire.JobReply{Outcome: wire.JobReply_DECLINED}
 	}
-	if !answerable(s.Local, s.StoreAway, jobOf(call)) {
-		return reply(s.Local.Unavailable())
+	if !canServeLocally(s.Local, s.StoreAway, jobID(call)) {
+		return encodeReply(s.Local.Unavailable())
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.GetTimeoutMs())*time.Millisecond)
 	defer cancel()
 	switch k := call.GetKind().(type) {
 	case *wire.JobCall_Accept:
-		return reply(s.Local.Accept(ctx, k.Accept))
+		return encodeReply(s.Local.Accept(ctx, k.Accept))
 	case *wire.JobCall_End:
-		return reply(s.Local.End(ctx, k.End))
+		return encodeReply(s.Local.End(ctx, k.End))
 	case *wire.JobCall_Body:
 		body, err := s.Local.Body(ctx, k.Body.GetJob(), k.Body.GetItem())
-		out := reply(err)
+		out := encodeReply(err)
 		out.Body = body
 		return out
 	case *wire.JobCall_Read:
 		wait := time.Duration(k.Read.GetWaitMs()) * time.Millisecond
 		res, err := s.Local.Results(ctx, k.Read.GetJob(), int(k.Read.GetFrom()), wait)
-		out := reply(err)
+		out := encodeReply(err)
 		out.Total, out.Next = uint32(res.Total), uint32(res.Next)
 		for _, it := range res.Items {
 			out.Results = append(out.Results, &wire.JobResult{Item: it.ID, Dead: it.Dead, Text: it.Text})
 		}
 		return out
 	}
-	return &wire.JobReply{Outcome: wire.JobReply_DECLINED} // a kind of a later version
+	return &wire.JobReply{Outcome: wire.JobReply_DECLINED} // a call kind of a later version
 }
 
-// jobOf returns the job that a call is about.
-func jobOf(call *wire.JobCall) string {
+// jobID returns the ID of the job that a call is about, "" for an unknown kind of call.
+func jobID(call *wire.JobCall) string {
 	switch k := call.GetKind().(type) {
 	case *wire.JobCall_Accept:
 		return k.Accept.GetId()
@@ -69,8 +69,8 @@
 	return ""
 }
 
-// writes reports whether a call has to write to the store.
-func writes(call *wire.JobCall) bool {
+// isWrite reports whether a call writes to the store.
+func isWrite(call *wire.JobCall) bool {
 	switch call.GetKind().(type) {
 	case *wire.JobCall_Accept, *wire.JobCall_End:
 		return true
@@ -78,8 +78,8 @@
 	return false
 }
 
-// results decodes the results of a reply.
-func results(r *wire.JobReply) jobstore.Results {
+// decodeResults converts the results of a reply.
+func decodeResults(r *wire.JobReply) jobstore.Results {
 	out := jobstore.Results{Total: int(r.GetTotal()), Next: int(r.GetNext())}
 	for _, it := range r.GetResults() {
 		out.Items = append(out.Items, jobstore.ResultItem{ID: it.GetItem(), Dead: it.GetDead(), Text: it.GetText()})
@@ -87,9 +87,9 @@
 	return out
 }
 
-// reply encodes how a call ended.
-func reply(err error) *wire.JobReply {
-	out := &wire.JobReply{Outcome: outcome(err)}
+// encodeReply returns a reply with the outcome that err stands for, and without results.
+func encodeReply(err error) *wire.JobReply {
+	out := &wire.JobReply{Outcome: encodeOutcome(err)}
 	var away *jobstore.AwayError
 	if errors.As(err, &away) {
 		out.Away, out.ComeBackMs = true, uint32(away.ComeBack.Milliseconds())
@@ -97,7 +97,7 @@
 	return out
 }
 
-func outcome(err error) wire.JobReply_Outcome {
+func encodeOutcome(err error) wire.JobReply_Outcome {
 	switch {
 	case err == nil:
 		return wire.JobReply_DONE
@@ -108,17 +108,17 @@
 	case errors.Is(err, jobstore.ErrUnsure) && !errors.Is(err, jobstore.ErrUnknownEffect):
 		return wire.JobReply_UNSURE
 	}
-	// Also what is not known here: it must not be taken for a promise.
+	// Unrecognised errors too: the caller must not conclude that nothing was written.
 	return wire.JobReply_UNKNOWN_EFFECT
 }
 
-// errElsewhere is the cause of failures at the process that was asked; its own log
-// tells more.
-var errElsewhere = errors.New("process that runs the job could not carry the call out")
+// errRemoteFailed is the cause of failures at the called process, whose own log has the
+// details.
+var errRemoteFailed = errors.New("called process could not execute the job call")
 
-// failure decodes what reply encoded.
-func failure(r *wire.JobReply) error {
-	cause := errElsewhere
+// decodeError returns the error that encodeReply encoded, or nil.
+func decodeError(r *wire.JobReply) error {
+	cause := errRemoteFailed
 	if r.GetAway() {
 		cause = &jobstore.AwayError{ComeBack: time.Duration(r.GetComeBackMs()) * time.Millisecond}
 	}
