--- a/jobstore/accept.go
+++ b/jobstore/accept.go
@@ -13,58 +13,61 @@
 	"pumiceford/wire"
 )
 
-// Bounds of taking a job in.
+// Timeouts and limits of accepting a job.
 const (
-	// alternates is how many other partitions may take a job in while that of its
-	// id is away: with a third of all partitions away, hardly a job finds none.
-	alternates = 3
-	// staggerLeast and staggerMost bound how long one partition is waited for before
-	// the next one is asked as well. A small host needs many times what an append takes,
-	// and with a fixed time kept jobs twice. Callers want their answer within half a second.
-	staggerLeast = 100 * time.Millisecond
-	staggerMost  = 250 * time.Millisecond
-	// staggerTimes is what a usual try takes, times this, before another is begun.
-	staggerTimes = 4
-	// staggerLearn is the weight of a new try against what was usual.
-	staggerLearn = 0.1
-	// acceptMost bounds taking a job in: an append to a slow store, and a lost race for a
-	// partition's end.
-	acceptMost = 900 * time.Millisecond
-	// silentTimes is how much longer than a success a try has to go without an
-	// answer to count as one at a partition that is away.
-	silentTimes = 4
-	// awayRest is how long a partition is left alone after a try that failed, and the
-	// whole store once outageTries tries in a row have failed, unless a probe finds
-	// that it answers again.
-	awayRest     = 3 * time.Second
-	outageTries  = 4
-	probeTimeout = 300 * time.Millisecond
+	// alternateCount is how many other partitions may accept a job while its home is
+	// unavailable. With a third of all partitions unavailable, almost every job still finds
+	// one that answers.
+	alternateCount = 3
+	// minHedgeDelay and maxHedgeDelay bound the wait for one partition before the next
+	// candidate is tried as well. An append takes many times longer on a small host, and a
+	// fixed delay made such hosts store jobs twice. Callers expect an answer within half a
+	// second.
+	minHedgeDelay = 100 * time.Millisecond
+	maxHedgeDelay = 250 * time.Millisecond
+	// hedgeLatencyFactor is the hedge delay as a multiple of the mean latency of an attempt.
+	hedgeLatencyFactor = 4
+	// latencySampleWeight is the weight of a new sample in the moving average.
+	latencySampleWeight = 0.1
+	// acceptTimeout bounds the acceptance of a job. It allows for an append to a slow store
+	// and one conflict over the partition's end.
+	acceptTimeout = 900 * time.Millisecond
+	// silentLatencyFactor is the multiple of a successful attempt's latency after which a
+	// concurrent attempt without an answer counts as failed.
+	silentLatencyFactor = 4
+	// unavailableBackoff is how long a partition is not tried after a failed attempt, and
+	// how long the whole store is not tried after outageThreshold failures in a row, unless
+	// a probe succeeds sooner.
+	unavailableBackoff = 3 * time.Second
+	outageThreshold    = 4
+	probeTimeout       = 300 * time.Millisecond
 )
 
-// AwayError says that the job store does not answer now. It is marked as ErrUnsure
+// AwayError is returned while the job store is unavailable. It is marked as ErrUnsure
 // when nothing was written, and as ErrUnknownEffect otherwise.
 type AwayError struct {
-	// ComeBack is when another try is worth while.
+	// ComeBack is how long the caller should wait before a retry.
 	ComeBack time.Duration
 }
 
 // Error implements error.
 func (e *AwayError) Error() string {
-	return "job store is away; worth another try in " + e.ComeBack.String()
+	return "job store is unavailable; retry after " + e.ComeBack.String()
 }
 
-// Accept takes a job in. When it returns nil, the job is durable, by this call
-// or an earlier one. While the partition of its id is away, another one keeps it
-// as a hint until it can be handed off.
+// Accept stores a job. When it returns nil, the job is durable, by this call or an
+// earlier one. While the job's home partition is unavailable, an
+// alternate keeps the job as a hint until it can be handed off.
 func (s *Store) Accept(ctx context.Context, spec *wire.JobSpec) error {
 	began := time.Now()
 	number, known, err := s.accept(ctx, spec)
-	s.tell("accepted", spec.GetId(), number, began, err, logging.F("items", len(spec.GetItems())), logging.F("known", known),
+	s.logWrite("accepted", spec.GetId(), number, began, err, logging.F("items", len(spec.GetItems())), logging.F("known", known),
 		logging.F("home", s.PartitionOf(spec.GetId())))
 	return err
 }
 
-// accept returns the partition that has the job, and whether it had it before.
+// accept stores a job. It returns the partition that has the job and whether that
+// partition had it before the call.
 func (s *Store) accept(ctx context.Context, spec *wire.JobSpec) (number int, known bool, err error) {
 	home := s.forCaller(s.PartitionOf(spec.GetId()))
 	if home.has(spec.GetId()) {
@@ -73,119 +76,120 @@
 	if hint, n := s.knownHint(spec.GetId()); hint != nil {
 		return n, true, nil
 	}
-	places := s.places(home, spec.GetId())
-	if len(places) == 0 {
-		return home.number, false, errors.Mark(s.away(), ErrUnsure)
+	candidates := s.candidates(home, spec.GetId())
+	if len(candidates) == 0 {
+		return home.number, false, errors.Mark(s.unavailableError(), ErrUnsure)
 	}
-	ctx, cancel := context.WithTimeout(ctx, acceptMost)
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
-	number, err = s.acceptFirst(ctx, spec, places)
+	number, err = s.acceptHedged(ctx, spec, candidates)
 	return number, false, err
 }
 
-// try is one partition's try at taking a job in.
-type try struct {
-	part  int
-	began time.Time
-	ended bool
-	err   error
+// attempt is one attempt to have a partition accept a job.
+type attempt struct {
+	partition int
+	began     time.Time
+	ended     bool
+	err       error
 }
 
-// acceptFirst has the first partition take the job in that can: the next one is
-// asked as well when one fails or has not answered after stagger. A copy that is
-// written too much is dropped with the job's hints.
-func (s *Store) acceptFirst(ctx context.Context, spec *wire.JobSpec, places []int) (int, error) {
+// acceptHedged tries the candidates in order until one accepts the job. It starts the
+// next attempt when one fails or the hedge delay has passed without an answer. Surplus
+// copies are dropped like any other hint of the job.
+func (s *Store) acceptHedged(ctx context.Context, spec *wire.JobSpec, candidates []int) (int, error) {
 	home := s.PartitionOf(spec.GetId())
-	ends := make(chan *try, len(places))
-	var tries []*try
-	stagger := s.pace.stagger()
-	timer := time.NewTimer(stagger)
+	results := make(chan *attempt, len(candidates))
+	var attempts []*attempt
+	delay := s.acceptLatency.hedgeDelay()
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
-	begin := func() {
-		if len(tries) == len(places) {
+	start := func() {
+		if len(attempts) == len(candidates) {
 			return
 		}
-		t := &try{part: places[len(tries)], began: time.Now()}
-		tries = append(tries, t)
-		timer.Reset(stagger)
+		a := &attempt{partition: candidates[len(attempts)], began: time.Now()}
+		attempts = append(attempts, a)
+		timer.Reset(delay)
 		go func() {
-			if t.part == home {
-				t.err = s.acceptHome(ctx, s.forCaller(home), spec)
+			if a.partition == home {
+				a.err = s.acceptHome(ctx, s.forCaller(home), spec)
 			} else {
-				t.err = s.acceptHint(ctx, t.part, spec)
+				a.err = s.acceptHint(ctx, a.partition, spec)
 			}
-			ends <- t
+			results <- a
 		}()
 	}
-	begin()
+	start()
 	unknown := false
-	for left := len(places); left > 0; {
+	for remaining := len(candidates); remaining > 0; {
 		select {
-		case t := <-ends:
-			left--
-			t.ended = true
-			if final(t.err) {
-				s.judge(tries, t)
-				return t.part, t.err
+		case a := <-results:
+			remaining--
+			a.ended = true
+			if isFinal(a.err) {
+				s.recordSuccess(attempts, a)
+				return a.partition, a.err
 			}
-			s.note(t, false)
-			unknown = unknown || errors.Is(t.err, ErrUnknownEffect)
-			begin()
+			s.recordAttempt(a, false)
+			unknown = unknown || errors.Is(a.err, ErrUnknownEffect)
+			start()
 		case <-timer.C:
-			begin()
+			start()
 		}
 	}
 	if unknown {
-		return home, errors.Mark(s.away(), ErrUnknownEffect)
+		return home, errors.Mark(s.unavailableError(), ErrUnknownEffect)
 	}
-	return home, errors.Mark(s.away(), ErrUnsure)
+	return home, errors.Mark(s.unavailableError(), ErrUnsure)
 }
 
-// final reports whether a try's end is the answer: another partition would not do
-// better.
-func final(err error) bool {
+// isFinal reports whether an attempt's result is the answer to the caller, because no
+// other partition would give a better one.
+func isFinal(err error) bool {
 	return err == nil || errors.Is(err, ErrOtherJob) || errors.Is(err, store.ErrFull)
 }
 
-// Unavailable returns the error for a call that is refused without a try, since the store is
-// away. It is marked as ErrUnsure.
+// Unavailable returns the error for a call that is refused without an attempt because the
+// store is known to be unavailable. It is an AwayError marked as ErrUnsure.
 func (s *Store) Unavailable() error {
 	now := time.Now()
-	s.outage.begin(now, awayRest)
-	s.outage.note(now, false)
-	return errors.Mark(&AwayError{ComeBack: s.outage.comeBack(now)}, ErrUnsure)
+	s.refusedCalls.expire(now, unavailableBackoff)
+	s.refusedCalls.record(now, false)
+	return errors.Mark(&AwayError{ComeBack: s.refusedCalls.retryAfter(now)}, ErrUnsure)
 }
 
-// away returns the error for a job that no partition takes in.
-func (s *Store) away() *AwayError {
-	return &AwayError{ComeBack: s.tries.comeBack(time.Now())}
+// unavailableError returns the error for a job that no partition accepted.
+func (s *Store) unavailableError() *AwayError {
+	return &AwayError{ComeBack: s.storeHealth.retryAfter(time.Now())}
 }
 
-func (s *Store) note(t *try, ok bool) {
+func (s *Store) recordAttempt(a *attempt, ok bool) {
 	now := time.Now()
-	s.triesAt(t.part).note(now, ok)
-	s.tries.note(now, ok)
-}
-
-// judge notes what a success shows of the tries that were begun before it: one that
-// has had far more time and no answer is away. A store that is slow in all of its
-// partitions shows nothing of the kind.
-func (s *Store) judge(tries []*try, won *try) {
-	s.note(won, true)
-	took := time.Since(won.began)
-	s.pace.note(took)
-	for _, t := range tries {
-		if !t.ended && t != won && time.Since(t.began) > silentTimes*took {
-			s.triesAt(t.part).note(time.Now(), false)
+	s.healthOf(a.partition).record(now, ok)
+	s.storeHealth.record(now, ok)
+}
+
+// recordSuccess records a successful attempt. An earlier attempt that still has no answer
+// after silentLatencyFactor times the winner's latency counts as failed. The comparison is
+// relative, so that a store that is slow in all partitions marks none as unavailable.
+func (s *Store) recordSuccess(attempts []*attempt, winner *attempt) {
+	s.recordAttempt(winner, true)
+	took := time.Since(winner.began)
+	s.acceptLatency.observe(took)
+	for _, a := range attempts {
+		if !a.ended && a != winner && time.Since(a.began) > silentLatencyFactor*took {
+			s.healthOf(a.partition).record(time.Now(), false)
 		}
 	}
 }
 
-// acceptHome takes a job in at the partition of its id. When the store turns the
-// append away, another partition is a better use of the caller's time.
+// acceptHome stores a job in its home partition p. It does not retry an append that the
+// store refused if there are other partitions: trying one of them is a better use of the
+// caller's time. It returns ErrOtherJob if a different job has the id.
 func (s *Store) acceptHome(ctx context.Context, p *partition, spec *wire.JobSpec) error {
 	other := false
-	refused := func(err error) bool { return s.set.Partitions > 1 && errors.Is(err, store.ErrRefused) }
+	refused := func(err error) bool { return s.settings.Partitions > 1 && errors.Is(err, store.ErrRefused) }
 	err := s.updateUntil(ctx, p, refused, func(t *jobs.Table) ([]store.Record, error) {
 		if j := t.Get(spec.GetId()); j != nil {
 			other = !jobs.Same(j.Spec, spec)
@@ -199,16 +203,16 @@
 	return err
 }
 
-// acceptHint has a partition keep a job for the one of its id. The records are the
-// same whoever writes them, so this needs no condition and no knowledge of the
-// partition's state: a copy that comes late is dropped once the job is over.
+// acceptHint stores a job as a hint in an alternate partition. The records are the same
+// whichever process writes them, so the append is unconditional and does not need the
+// partition's state. A copy that is written late is dropped when the job is over.
 func (s *Store) acceptHint(ctx context.Context, number int, spec *wire.JobSpec) error {
 	recs, err := jobs.HintRecords(spec)
 	if err != nil {
 		return err
 	}
-	part := store.Partition{Topic: s.set.Topic, Number: number}
-	for _, group := range groups(recs, s.set.CallBytes) {
+	part := store.Partition{Topic: s.settings.Topic, Number: number}
+	for _, group := range splitAppends(recs, s.settings.CallBytes) {
 		if _, err := s.log.Append(ctx, part, group, store.AnyEnd); err != nil {
 			if errors.Is(err, store.ErrUnavailable) {
 				return errors.Mark(err, ErrUnknownEffect)
@@ -219,28 +223,28 @@
 	return nil
 }
 
-// hint returns a job that is kept here for another partition, nil when none is
-// known.
+// hint returns the job that this partition keeps for its home under the given id, or nil
+// if it keeps none.
 func (p *partition) hint(id string) (spec *wire.JobSpec) {
-	p.follow.Look(func(int64, <-chan struct{}) { spec = p.table.Hint(id) })
+	p.follower.Look(func(int64, <-chan struct{}) { spec = p.table.Hint(id) })
 	return spec
 }
 
-// acceptPace learns how long a try usually takes at this process.
-type acceptPace struct {
-	mu    sync.Mutex
-	usual time.Duration
+// latencyEstimate is a moving average of the latency of successful attempts.
+type latencyEstimate struct {
+	mu   sync.Mutex
+	mean time.Duration
 }
 
-func (p *acceptPace) note(took time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.usual += time.Duration(staggerLearn * float64(took-p.usual))
+func (e *latencyEstimate) observe(took time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.mean += time.Duration(latencySampleWeight * float64(took-e.mean))
 }
 
-// stagger returns how long to wait for one try before the next is begun.
-func (p *acceptPace) stagger() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return min(max(staggerTimes*p.usual, staggerLeast), staggerMost)
+// hedgeDelay returns how long to wait for one attempt before the next is started.
+func (e *latencyEstimate) hedgeDelay() time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return min(max(hedgeLatencyFactor*e.mean, minHedgeDelay), maxHedgeDelay)
 }
--- a/jobstore/handoff.go
+++ b/jobstore/handoff.go
@@ -13,91 +13,97 @@
 	"pumiceford/wire"
 )
 
-// handedOff returns the spec of a hint as the job's own partition gets it: its
-// items go on being run from where the hint is.
-func handedOff(hint *wire.JobSpec, from int) *wire.JobSpec {
-	out, _ := proto.Clone(hint).(*wire.JobSpec) // a clone has the type of what was cloned
+// handOffSpec returns the spec under which a hint is stored in its home partition. The
+// runner of the partition that has the hint goes on running the items.
+func handOffSpec(hint *wire.JobSpec, from int) *wire.JobSpec {
+	out, _ := proto.Clone(hint).(*wire.JobSpec) // a clone has the same type as its source
 	out.RunFrom = proto.Uint32(uint32(from))
 	return out
 }
 
-// HandOff brings the jobs that a partition keeps for others to these, as far as
-// they answer, and forgets those that are over.
+// HandOff stores the jobs that a partition keeps as hints in their home partitions, and
+// drops the hints of jobs that are over. After a failed hand-off it skips the other jobs of
+// the same home. It returns the last error.
 func (s *Store) HandOff(ctx context.Context, number int) error {
-	p := s.at(number)
+	p := s.forRunner(number)
 	var hints []*wire.JobSpec
-	p.follow.Look(func(int64, <-chan struct{}) { hints = p.table.Hints() })
+	p.follower.Look(func(int64, <-chan struct{}) { hints = p.table.Hints() })
 	var last error
-	away := make(map[int]bool) // partitions that did not answer just now
+	failed := make(map[int]bool) // home partitions whose last hand-off failed
 	for _, hint := range hints {
 		home := s.PartitionOf(hint.GetId())
-		if away[home] {
+		if failed[home] {
 			continue
 		}
-		if err := s.handOffOne(ctx, p, hint); err != nil {
-			last, away[home] = err, true
+		if err := s.handOffJob(ctx, p, hint); err != nil {
+			last, failed[home] = err, true
 		}
 	}
 	return last
 }
 
-func (s *Store) handOffOne(ctx context.Context, p *partition, hint *wire.JobSpec) error {
+// handOffJob stores one hint of p in its home partition, or drops the hint if the home no
+// longer needs it.
+func (s *Store) handOffJob(ctx context.Context, p *partition, hint *wire.JobSpec) error {
 	id := hint.GetId()
-	home := s.at(s.PartitionOf(id))
-	if err := home.sure(ctx); err != nil {
+	home := s.forRunner(s.PartitionOf(id))
+	if err := home.ensureFresh(ctx); err != nil {
 		return err
 	}
-	state := home.hinted(id, p.number)
-	if state == hintRuns {
+	state := home.hintState(id, p.number)
+	if state == hintRunning {
 		return nil
 	}
-	if state == hintOver {
+	if state == hintObsolete {
 		return s.dropHint(ctx, p, id)
 	}
-	if time.Since(time.UnixMilli(hint.GetAcceptedUnixMs())) > s.set.Keep {
-		// The job's partition may have dropped it as over: it is not begun anew.
-		s.out.Error("job kept for another partition is too old and is dropped", logging.F("job", id), logging.F("partition", p.number))
+	if time.Since(time.UnixMilli(hint.GetAcceptedUnixMs())) > s.settings.Keep {
+		// The home may have deleted the job as expired, so handing it off again would
+		// run it a second time.
+		s.logger.Error("job kept for another partition is past its retention period; dropping it", logging.F("job", id), logging.F("partition", p.number))
 		return s.dropHint(ctx, p, id)
 	}
 	began := time.Now()
-	err := s.acceptHome(ctx, home, handedOff(hint, p.number))
-	s.tell("handed off", id, home.number, began, err, logging.F("from", p.number))
+	err := s.acceptHome(ctx, home, handOffSpec(hint, p.number))
+	s.logWrite("handed off", id, home.number, began, err, logging.F("from", p.number))
 	if errors.Is(err, ErrOtherJob) {
-		return nil // the next look drops the hint
+		return nil // the next call drops the hint
 	}
 	return err
 }
 
-// dropHint forgets a job that a partition keeps for another one.
+// dropHint deletes the hint of a job from a partition.
 func (s *Store) dropHint(ctx context.Context, p *partition, id string) error {
 	return s.update(ctx, p, func(t *jobs.Table) ([]store.Record, error) { return t.DropHint(id), nil })
 }
 
-// hintState is what the job's own partition says of a hint.
+// hintState is the state of a hint according to the job's home partition.
 type hintState int
 
 const (
-	hintNew  hintState = iota // the job is not there yet
-	hintRuns                  // it is there, and runs from the hint
-	hintOver                  // it is over, or runs from elsewhere
+	hintNotAccepted hintState = iota // the home does not have the job yet
+	hintRunning                      // the home has the job, and its items run from the hint's partition
+	hintObsolete                     // the job is over, or its items run from another partition
 )
 
-func (p *partition) hinted(id string, from int) (state hintState) {
-	p.follow.Look(func(int64, <-chan struct{}) {
+// hintState returns the state of a hint that partition from keeps for p.
+func (p *partition) hintState(id string, from int) (state hintState) {
+	p.follower.Look(func(int64, <-chan struct{}) {
 		j := p.table.Get(id)
 		switch {
 		case j == nil:
-			state = hintNew
+			state = hintNotAccepted
 		case !j.Open() || runFrom(j.Spec, p.number) != from:
-			state = hintOver
+			state = hintObsolete
 		default:
-			state = hintRuns
+			state = hintRunning
 		}
 	})
 	return state
 }
 
-// runFrom returns the partition whose runner runs a job's items.
+// runFrom returns the partition whose runner runs a job's items: the one named in the
+// spec, or the home.
 func runFrom(spec *wire.JobSpec, home int) int {
 	if spec.RunFrom != nil {
 		return int(spec.GetRunFrom())
@@ -105,31 +111,31 @@
 	return home
 }
 
-// find makes sure that a job's own partition has it when any has. It returns
-// ErrUnknownJob only when it is certain that none has, and ErrUnsure while a
-// partition that may have it cannot be read.
+// find returns the home partition of a job. If only a hint of the job exists, it hands
+// the job off first. It returns ErrUnknownJob only if no partition has the job, and
+// ErrUnsure while a partition that may have it cannot be read.
 func (s *Store) find(ctx context.Context, id string) (*partition, error) {
 	home := s.forCaller(s.PartitionOf(id))
 	if home.has(id) {
 		return home, nil
 	}
-	if home.foundSoon(ctx, id) {
+	if home.foundAtHome(ctx, id) {
 		return home, nil
 	}
-	// The alternates before home is looked at again: a hint is dropped only after the job has come to its
-	// own partition, so who looked there before cannot miss both.
+	// A hint is dropped only after the home has the job. Reading the alternates before
+	// reading the home again therefore cannot miss both.
 	for _, n := range s.alternatesOf(id) {
 		p := s.forCaller(n)
 		if p.hint(id) == nil {
-			if err := p.follow.Catch(ctx, 0); err != nil {
+			if err := p.follower.Catch(ctx, 0); err != nil {
 				return home, errors.Mark(err, ErrUnsure)
 			}
 		}
 		if hint := p.hint(id); hint != nil {
-			return home, s.fetch(ctx, home, handedOff(hint, p.number))
+			return home, s.ensureHandedOff(ctx, home, handOffSpec(hint, p.number))
 		}
 	}
-	if err := home.follow.Catch(ctx, 0); err != nil {
+	if err := home.follower.Catch(ctx, 0); err != nil {
 		return home, errors.Mark(err, ErrUnsure)
 	}
 	if !home.has(id) {
@@ -138,23 +144,24 @@
 	return home, nil
 }
 
-// homeLook bounds the look at a job's home before its alternates are looked at: a home
-// that is silent would take all the time that a caller has, and a hint that is there
-// would not be found.
-const homeLook = 300 * time.Millisecond
-
-// foundSoon reports whether a job turns out to be at its home within homeLook. Nearly
-// all jobs are. To look at the alternates first made a process follow three partitions
-// more for each one that its callers ask for.
-func (p *partition) foundSoon(ctx context.Context, id string) bool {
-	ctx, cancel := context.WithTimeout(ctx, homeLook)
+// homeLookupTimeout bounds the read of a job's home before its alternates are read.
+// Without it a home that does not answer would use up the caller's deadline, and a hint
+// at an alternate would not be found.
+const homeLookupTimeout = 300 * time.Millisecond
+
+// foundAtHome reports whether a read of the job's home p finds the job within
+// homeLookupTimeout. It comes before any read of the alternates: nearly all jobs are at
+// their home, and reading the alternates first made a process follow three more
+// partitions for each one that its callers ask for.
+func (p *partition) foundAtHome(ctx context.Context, id string) bool {
+	ctx, cancel := context.WithTimeout(ctx, homeLookupTimeout)
 	defer cancel()
-	return p.follow.Catch(ctx, 0) == nil && p.has(id)
+	return p.follower.Catch(ctx, 0) == nil && p.has(id)
 }
 
-// fetch hands a job off before it is asked for.
-func (s *Store) fetch(ctx context.Context, home *partition, spec *wire.JobSpec) error {
-	if err := home.follow.Catch(ctx, 0); err != nil {
+// ensureHandedOff stores a job in its home partition if the home does not have it yet.
+func (s *Store) ensureHandedOff(ctx context.Context, home *partition, spec *wire.JobSpec) error {
+	if err := home.follower.Catch(ctx, 0); err != nil {
 		return errors.Mark(err, ErrUnsure)
 	}
 	if home.has(spec.GetId()) {
@@ -163,7 +170,7 @@
 	return s.acceptHome(ctx, home, spec)
 }
 
-// End ends a job. Ending it again changes nothing.
+// End ends a job. It is idempotent.
 func (s *Store) End(ctx context.Context, id string) error {
 	p, err := s.find(ctx, id)
 	if err != nil {
@@ -171,6 +178,6 @@
 	}
 	began := time.Now()
 	err = s.update(ctx, p, func(t *jobs.Table) ([]store.Record, error) { return t.End(id) })
-	s.tell("ended", id, p.number, began, err)
+	s.logWrite("ended", id, p.number, began, err)
 	return err
 }
--- a/jobstore/health.go
+++ b/jobstore/health.go
@@ -6,66 +6,70 @@
 	"time"
 )
 
-// health is what tries to write showed. A job that finds its partition away must
-// not wait for what an earlier one has found out already.
+// health counts consecutive failures like a circuit breaker, so that a job does not wait
+// again for a partition that an earlier job found unavailable. It is safe for concurrent
+// use.
 type health struct {
-	mu     sync.Mutex
-	fails  int       // in a row
-	since  time.Time // the first of these
-	failed time.Time // the last
+	mu           sync.Mutex
+	failures     int       // consecutive failures
+	firstFailure time.Time // the first of the consecutive failures
+	lastFailure  time.Time
 }
 
-// note takes the end of a try.
-func (h *health) note(now time.Time, ok bool) {
+// record records the outcome of an attempt.
+func (h *health) record(now time.Time, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if ok {
-		h.fails = 0
+		h.failures = 0
 		return
 	}
-	if h.fails == 0 {
-		h.since = now
+	if h.failures == 0 {
+		h.firstFailure = now
 	}
-	h.fails++
-	h.failed = now
+	h.failures++
+	h.lastFailure = now
 }
 
-// begin forgets failures whose last one is longer ago than rest: those that follow are of
-// another outage.
-func (h *health) begin(now time.Time, rest time.Duration) {
+// expire resets the count if the last failure is more than maxGap ago: later failures
+// belong to another outage.
+func (h *health) expire(now time.Time, maxGap time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if now.Sub(h.failed) > rest {
-		h.fails = 0
+	if now.Sub(h.lastFailure) > maxGap {
+		h.failures = 0
 	}
 }
 
-// away reports whether tries fail, many of them in a row, the last one less than
-// rest ago and no sign of life seen since. After that one more try is worth while.
-func (h *health) away(now time.Time, many int, rest time.Duration, seen time.Time) bool {
+// unavailable reports whether at least threshold attempts in a row have failed, the last
+// one less than backoff ago, with no answer since. After backoff it reports false, so that
+// a caller tries again.
+func (h *health) unavailable(now time.Time, threshold int, backoff time.Duration, lastAnswer time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.fails >= many && now.Sub(h.failed) < rest && seen.Before(h.failed)
+	return h.failures >= threshold && now.Sub(h.lastFailure) < backoff && lastAnswer.Before(h.lastFailure)
 }
 
-// comeBack returns when it is worth while to come back: an outage that has lasted
-// for a while will last as long again. Callers are spread, so that those who were
-// refused together do not come back together.
-func (h *health) comeBack(now time.Time) time.Duration {
+// retryAfter returns how long a caller should wait before a retry. The wait grows with
+// the age of the outage, since an outage that has lasted for some time tends to last as
+// long again. Jitter keeps callers that were refused together from retrying together.
+func (h *health) retryAfter(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	wait := comeBackFirst
-	if h.fails > 0 {
-		wait = min(max(now.Sub(h.since)/comeBackPart, comeBackFirst), comeBackMost)
+	wait := minRetryAfter
+	if h.failures > 0 {
+		wait = min(max(now.Sub(h.firstFailure)/retryAfterDivisor, minRetryAfter), maxRetryAfter)
 	}
-	return time.Duration(float64(wait) * (1 - comeBackSpread + 2*comeBackSpread*rand.Float64()))
+	return time.Duration(float64(wait) * (1 - retryAfterJitter + 2*retryAfterJitter*rand.Float64()))
 }
 
-// Times of coming back.
+// Parameters of retryAfter.
 const (
-	comeBackFirst = 300 * time.Millisecond
-	// comeBackMost is a quarter of the four seconds that a caller tries for.
-	comeBackMost   = time.Second
-	comeBackPart   = 3
-	comeBackSpread = 0.25
+	minRetryAfter = 300 * time.Millisecond
+	// maxRetryAfter is a quarter of the 4 s for which a caller retries.
+	maxRetryAfter = time.Second
+	// retryAfterDivisor is the age of the outage divided by the wait.
+	retryAfterDivisor = 3
+	// retryAfterJitter is the maximum deviation as a fraction of the wait.
+	retryAfterJitter = 0.25
 )
--- a/jobstore/jobstore.go
+++ b/jobstore/jobstore.go
@@ -1,8 +1,8 @@
 // Package jobstore keeps batch jobs on the shared store. Any process may write
-// to any partition: each write is decided on the partition's folded state and
-// carried out only if the partition still ends there. There is no owner to lose,
-// to wait for or to fence; who runs a job's items is decided elsewhere and may be
-// wrong for a while.
+// to any partition: each write is computed from the partition's folded state and
+// appended only if the partition's end has not moved since. Partitions have no owner,
+// so no write waits for an election or needs a fence. Which process runs a job's items
+// is decided elsewhere, and two processes may run the same items for a while.
 package jobstore
 
 import (
@@ -20,244 +20,257 @@
 	"pumiceford/store"
 )
 
-// Settings shape a Store.
+// Settings configures a Store.
 type Settings struct {
 	Topic string
-	// ProgressTopic keeps how far unfinished items came.
+	// ProgressTopic holds the progress of unfinished items.
 	ProgressTopic string
 	Partitions    int
-	CallBytes     int           // most that one append may carry
-	Keep          time.Duration // results are readable this long after acceptance
+	CallBytes     int           // maximum size of one append, in bytes
+	Keep          time.Duration // how long results are readable after the job was accepted
 }
 
-// Bounds of the store.
+// Timeouts, intervals and limits of the store.
 const (
-	// followWait is how long a read of a partition waits. A connection that goes
-	// silent is noticed by its keep-alive sooner; this bounds a store that takes
-	// a call and never answers.
-	followWait = 8 * time.Second
-	// sureFor is how old the state may be when something is said not to exist.
-	// It stays under the second after which an accepted job has to be known
-	// everywhere.
-	sureFor = 300 * time.Millisecond
-	// conflictPause is left after a lost race for a partition's end.
-	conflictPause = 5 * time.Millisecond
-	// refusedPause is left after the store turned an append away.
-	refusedPause = 60 * time.Millisecond
-	// loadsAtOnce is how many partitions are read whole at a time: two megabytes
-	// come over the narrowest link within the time for one.
-	loadsAtOnce = 2
-	// idleAfter is how long a partition is followed after its last use here: longer than
-	// a caller's pause between two reads of a job. releaseEvery is how often those that
-	// are not used any more are looked for.
-	idleAfter    = 15 * time.Second
-	releaseEvery = 5 * time.Second
-	// runsFor is how long after its runner's last look a partition counts as run here. A
-	// runner looks at its partitions some times a second.
-	runsFor = 2 * time.Second
-	// keepMargin is added to Keep for clocks that differ.
-	keepMargin = 30 * time.Second
+	// readWait bounds a read that waits for new records. The keep-alive detects a dead
+	// connection sooner; this bound covers a store that accepts a call and never answers.
+	readWait = 8 * time.Second
+	// absenceMaxAge is the maximum age of the state on which a job is reported as not
+	// found. It is below one second, the time within which every process must know an
+	// accepted job.
+	absenceMaxAge = 300 * time.Millisecond
+	// conflictRetryDelay is the wait before a retry when another append changed the
+	// partition's end first.
+	conflictRetryDelay = 5 * time.Millisecond
+	// refusedRetryDelay is the wait before a retry when the store refused an append or
+	// the partition cannot be read.
+	refusedRetryDelay = 60 * time.Millisecond
+	// maxConcurrentLoads is how many partitions are loaded in full at a time: the narrowest
+	// link carries 2 MB within the timeout of one load.
+	maxConcurrentLoads = 2
+	// idleTimeout is how long this process follows a partition after its last use. It is
+	// longer than the interval at which callers poll a job. unfollowInterval is the interval
+	// between checks for idle partitions.
+	idleTimeout      = 15 * time.Second
+	unfollowInterval = 5 * time.Second
+	// runnerTimeout is how long after the last access by a local runner a partition counts
+	// as run by this process. A runner accesses its partitions several times a second.
+	runnerTimeout = 2 * time.Second
+	// retentionMargin is added to the retention period to allow for clock skew.
+	retentionMargin = 30 * time.Second
 )
 
 // Errors of the Store.
 var (
-	// ErrUnknownJob says that there is no such job. It is only told when that is
-	// certain.
-	ErrUnknownJob = errors.New("no such job")
-	// ErrOtherJob says that another job has the id already.
-	ErrOtherJob = errors.New("another job has this id")
-	// ErrUnsure says that the shared store does not answer now.
-	ErrUnsure = errors.New("job state cannot be told now")
-	// ErrUnknownEffect says that a write may or may not have been carried out.
-	ErrUnknownEffect = errors.New("write to the job store got no answer")
+	// ErrUnknownJob is returned only when the job certainly does not exist.
+	ErrUnknownJob = errors.New("job not found")
+	// ErrOtherJob is returned when a different job already has the id.
+	ErrOtherJob = errors.New("a different job already has this id")
+	// ErrUnsure is returned when the shared store does not answer, so that the state of
+	// the job is not known. A write that returns it was not carried out.
+	ErrUnsure = errors.New("job store is unavailable and the job's state is unknown")
+	// ErrUnknownEffect is returned when a write may or may not have been carried out.
+	ErrUnknownEffect = errors.New("job store did not answer and the write may have been carried out")
 )
 
-// Store is the job store.
+// Store accepts, reads and updates batch jobs. It is safe for concurrent use.
 type Store struct {
-	log  store.Log
-	set  Settings
-	out  logging.Logger
-	base context.Context
-
-	mu    sync.Mutex
-	parts map[int]*partition
-	loads store.Loads
-	tries health // of taking jobs in, at all partitions together
-	// outage is what calls showed that were refused without a try.
-	outage health
-	// triesBy are the tries at each partition.
-	triesBy    map[int]*health
-	pace       acceptPace
-	callerPace *store.Pace // of reading partitions that only callers need here
+	log      store.Log
+	settings Settings
+	logger   logging.Logger
+	baseCtx  context.Context
+
+	mu         sync.Mutex
+	partitions map[int]*partition
+	loadLimit  store.Loads
+	// storeHealth counts the attempts to accept a job over all partitions.
+	storeHealth health
+	// refusedCalls counts calls that were refused without an attempt.
+	refusedCalls health
+	// partitionHealth counts the attempts to accept a job by partition.
+	partitionHealth map[int]*health
+	acceptLatency   latencyEstimate
+	// callerLimiter limits the reads of partitions that only callers use here.
+	callerLimiter *store.Pace
 }
 
-// partition is one followed partition. Its table is only touched inside the
-// follower's Look.
+// partition is one followed partition. Its table may be accessed only while the
+// follower's state is locked.
 type partition struct {
-	number int
-	table  *jobs.Table
-	follow *store.Follower
-	write  chan struct{} // one writer of this process at a time
-	// probing holds the place of the one look at a partition that seems away.
-	probing chan struct{}
-	used    time.Time // guarded by Store.mu
-	stop    context.CancelFunc
-	ran     atomic.Int64 // when its runner here used it last, in Unix nanoseconds
+	number    int
+	table     *jobs.Table
+	follower  *store.Follower
+	writeSlot chan struct{} // admits one writer of this process at a time
+	// probeSlot admits one probe of an unavailable partition at a time.
+	probeSlot    chan struct{}
+	lastUsed     time.Time // guarded by Store.mu
+	stop         context.CancelFunc
+	runnerUsedAt atomic.Int64 // last access by a local runner, in Unix nanoseconds
 }
 
-// runsHere reports whether this process runs the partition's items.
-func (p *partition) runsHere() bool {
-	return time.Since(time.Unix(0, p.ran.Load())) < runsFor
+// hasLocalRunner reports whether a runner of this process used the partition within
+// runnerTimeout.
+func (p *partition) hasLocalRunner() bool {
+	return time.Since(time.Unix(0, p.runnerUsedAt.Load())) < runnerTimeout
 }
 
 // New returns a Store whose followers run until ctx ends.
-func New(ctx context.Context, log store.Log, set Settings, out logging.Logger) *Store {
-	s := &Store{log: log, set: set, out: out, base: ctx, parts: make(map[int]*partition), loads: store.NewLoads(loadsAtOnce), triesBy: make(map[int]*health), callerPace: store.NewPace()}
-	go s.releaseIdle(ctx)
+func New(ctx context.Context, log store.Log, settings Settings, logger logging.Logger) *Store {
+	s := &Store{log: log, settings: settings, logger: logger, baseCtx: ctx, partitions: make(map[int]*partition), loadLimit: store.NewLoads(maxConcurrentLoads), partitionHealth: make(map[int]*health), callerLimiter: store.NewPace()}
+	go s.unfollowIdle(ctx)
 	return s
 }
 
-// releaseIdle stops following the partitions that nothing here uses any more. A process
-// that went on with each one that a caller had ever asked for read in the end what all
-// others wrote.
-func (s *Store) releaseIdle(ctx context.Context) {
-	for wait.For(ctx, releaseEvery) == nil {
+// unfollowIdle stops following partitions that have not been used for idleTimeout.
+// Without it a process would follow every partition that a caller ever asked for and,
+// in the end, read the writes of all other processes.
+func (s *Store) unfollowIdle(ctx context.Context) {
+	for wait.For(ctx, unfollowInterval) == nil {
 		now := time.Now()
 		s.mu.Lock()
-		for n, p := range s.parts {
-			if now.Sub(p.used) > idleAfter {
+		for n, p := range s.partitions {
+			if now.Sub(p.lastUsed) > idleTimeout {
 				p.stop()
-				delete(s.parts, n)
+				delete(s.partitions, n)
 			}
 		}
 		s.mu.Unlock()
 	}
 }
 
-// Followed returns how many partitions are followed.
+// Followed returns the number of partitions that this process follows.
 func (s *Store) Followed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.parts)
+	return len(s.partitions)
 }
 
-// CallerReadRate returns how many reads a second this process may make for its callers.
+// CallerReadRate returns the current limit on this process's reads for its callers, in
+// reads per second.
 func (s *Store) CallerReadRate() float64 {
-	return s.callerPace.Rate()
+	return s.callerLimiter.Rate()
 }
 
-// Topic returns the topic of all partitions.
+// Topic returns the topic that holds the partitions of jobs.
 func (s *Store) Topic() string {
-	return s.set.Topic
+	return s.settings.Topic
 }
 
-// at returns a partition for the runner of its items.
-func (s *Store) at(number int) *partition {
+// forRunner returns a partition for the runner of its items. The rate limit on callers'
+// reads does not apply to the partition until runnerTimeout has passed.
+func (s *Store) forRunner(number int) *partition {
 	p := s.forCaller(number)
-	p.ran.Store(time.Now().UnixNano())
+	p.runnerUsedAt.Store(time.Now().UnixNano())
 	return p
 }
 
-// forCaller returns a partition for a caller, following it from the first use on: a process
-// follows what its callers ask for and what it runs, not what the fleet holds. What only
-// callers need is read within a pace, so that it cannot keep the store from those that
-// run the jobs.
+// forCaller returns a partition for a caller and starts following it on first use, so
+// that a process follows only the partitions that it runs or that its callers ask for.
+// Partitions that only callers use are read under a rate limit, so that these reads
+// cannot take the store's capacity from the processes that run the jobs.
 func (s *Store) forCaller(number int) *partition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p := s.parts[number]; p != nil {
-		p.used = time.Now()
+	if p := s.partitions[number]; p != nil {
+		p.lastUsed = time.Now()
 		return p
 	}
 	unreadable := func(key string, err error) {
-		s.out.Warn("record of a job cannot be read and is left out", logging.F("partition", number),
+		s.logger.Warn("job record cannot be decoded; skipping it", logging.F("partition", number),
 			logging.F("key", key), logging.F("error", err.Error()))
 	}
-	p := &partition{number: number, table: jobs.NewTable(unreadable), write: make(chan struct{}, 1), probing: make(chan struct{}, 1), used: time.Now()}
-	part := store.Partition{Topic: s.set.Topic, Number: number}
-	log := store.Paced{Log: s.log, Pace: s.callerPace, Urgent: p.runsHere}
-	p.follow = store.NewFollower(log, part, p.table, store.FollowSettings{
-		Wait: followWait, Loads: s.loads,
+	p := &partition{number: number, table: jobs.NewTable(unreadable), writeSlot: make(chan struct{}, 1), probeSlot: make(chan struct{}, 1), lastUsed: time.Now()}
+	part := store.Partition{Topic: s.settings.Topic, Number: number}
+	log := store.Paced{Log: s.log, Pace: s.callerLimiter, Urgent: p.hasLocalRunner}
+	p.follower = store.NewFollower(log, part, p.table, store.FollowSettings{
+		Wait: readWait, Loads: s.loadLimit,
 		OnTrouble: func(err error) {
-			s.out.Warn("partition of jobs does not answer", logging.F("partition", number), logging.F("error", err.Error()))
+			s.logger.Warn("job partition does not answer", logging.F("partition", number), logging.F("error", err.Error()))
 		},
 		OnContact: func(away time.Duration) {
-			s.out.Info("partition of jobs answers again", logging.F("partition", number), logging.F("away_ms", away.Milliseconds()))
+			s.logger.Info("job partition answers again", logging.F("partition", number), logging.F("away_ms", away.Milliseconds()))
 		},
 	})
-	s.parts[number] = p
-	ctx, stop := context.WithCancel(s.base)
+	s.partitions[number] = p
+	ctx, stop := context.WithCancel(s.baseCtx)
 	p.stop = stop
-	go p.follow.Run(ctx)
+	go p.follower.Run(ctx)
 	return p
 }
 
-// sure brings a partition's state up to date before an absence is told.
-func (p *partition) sure(ctx context.Context) error {
-	if err := p.follow.Catch(ctx, sureFor); err != nil {
+// ensureFresh brings the state to within absenceMaxAge of the store, as is needed before
+// a job is reported as not found. It returns an error marked ErrUnsure if the store does
+// not answer.
+func (p *partition) ensureFresh(ctx context.Context) error {
+	if err := p.follower.Catch(ctx, absenceMaxAge); err != nil {
 		return errors.Mark(err, ErrUnsure)
 	}
 	return nil
 }
 
-// tell logs what became of a caller's write.
-func (s *Store) tell(what, id string, number int, began time.Time, err error, more ...logging.Field) {
+// logWrite logs the outcome of a write. The action is a past participle such as
+// "accepted".
+func (s *Store) logWrite(action, id string, number int, began time.Time, err error, extra ...logging.Field) {
 	fields := append([]logging.Field{
 		logging.F("job", id), logging.F("partition", number), logging.F("took_ms", time.Since(began).Milliseconds()),
-	}, more...)
+	}, extra...)
 	if err != nil {
-		s.out.Warn("job not "+what, append(fields, logging.F("error", err.Error()))...)
+		s.logger.Warn("job not "+action, append(fields, logging.F("error", err.Error()))...)
 		return
 	}
-	s.out.Info("job "+what, fields...)
+	s.logger.Info("job "+action, fields...)
 }
 
 func (p *partition) has(id string) bool {
 	found := false
-	p.follow.Look(func(int64, <-chan struct{}) { found = p.table.Get(id) != nil })
+	p.follower.Look(func(int64, <-chan struct{}) { found = p.table.Get(id) != nil })
 	return found
 }
 
-// List lists outcomes of the jobs whose partition is number.
+// List records the outcomes of items whose jobs belong to the given partition. Each
+// outcome is listed at the next free position of its job's results.
 func (s *Store) List(ctx context.Context, number int, outcomes []jobs.Outcome) error {
-	return s.update(ctx, s.at(number), func(t *jobs.Table) ([]store.Record, error) {
+	return s.update(ctx, s.forRunner(number), func(t *jobs.Table) ([]store.Record, error) {
 		return t.List(outcomes)
 	})
 }
 
-// Fail writes down that attempts of an item failed.
+// Fail records how many attempts of an item have failed. It sets impossible
+// if a target reported that the item can never succeed.
 func (s *Store) Fail(ctx context.Context, id string, item, failed int, impossible bool) error {
-	return s.update(ctx, s.at(s.PartitionOf(id)), func(t *jobs.Table) ([]store.Record, error) {
+	return s.update(ctx, s.forRunner(s.PartitionOf(id)), func(t *jobs.Table) ([]store.Record, error) {
 		return t.Fail(id, item, failed, impossible)
 	})
 }
 
-// Sweep drops the jobs of a partition that need not be readable any more.
+// Sweep deletes the jobs of a partition whose retention period is over.
 func (s *Store) Sweep(ctx context.Context, number int, now time.Time) error {
-	return s.update(ctx, s.at(number), func(t *jobs.Table) ([]store.Record, error) {
-		return t.Expired(now, s.set.Keep+keepMargin), nil
+	return s.update(ctx, s.forRunner(number), func(t *jobs.Table) ([]store.Record, error) {
+		return t.Expired(now, s.settings.Keep+retentionMargin), nil
 	})
 }
 
-// update appends what decide asks for on the partition's state, until decide
-// asks for nothing more. An append without an answer is looked up first: its
-// records either came, or cannot come any more once the partition has moved on.
+// update appends the records that decide returns for the partition's state, and repeats
+// this until decide returns none. After an append without an answer it refreshes the
+// state first: the records are either there or, once the partition's end has moved, can
+// no longer be written.
 func (s *Store) update(ctx context.Context, p *partition, decide func(*jobs.Table) ([]store.Record, error)) error {
 	return s.updateUntil(ctx, p, func(error) bool { return false }, decide)
 }
 
-// updateUntil is update that gives up after a failed append when enough says so.
-func (s *Store) updateUntil(ctx context.Context, p *partition, enough func(error) bool, decide func(*jobs.Table) ([]store.Record, error)) error {
+// updateUntil is like update, but stops after a failed append for which giveUp returns
+// true.
+func (s *Store) updateUntil(ctx context.Context, p *partition, giveUp func(error) bool, decide func(*jobs.Table) ([]store.Record, error)) error {
 	select {
-	case p.write <- struct{}{}:
+	case p.writeSlot <- struct{}{}:
 	case <-ctx.Done():
 		return errors.Mark(ctx.Err(), ErrUnsure)
 	}
-	defer func() { <-p.write }()
-	if err := p.loaded(ctx); err != nil {
+	defer func() { <-p.writeSlot }()
+	if err := p.ensureLoaded(ctx); err != nil {
 		return err
 	}
-	lost := noAppend // the end at which an append may still be carried out
+	pendingAt := noPendingAppend // the end at which an append may still be carried out
 	for {
 		recs, at, err := p.decide(decide)
 		if err != nil {
@@ -266,59 +279,65 @@
 		if len(recs) == 0 {
 			return nil
 		}
-		if at != lost {
-			lost = noAppend
+		if at != pendingAt {
+			pendingAt = noPendingAppend
 		}
-		stopped, err := s.appendOrSee(ctx, p, recs, at)
+		failedAt, err := s.appendOrObserve(ctx, p, recs, at)
 		switch {
 		case err == nil:
 			continue
 		case errors.Is(err, store.ErrFull):
 			return err
 		case errors.Is(err, store.ErrUnavailable):
-			lost = stopped
+			pendingAt = failedAt
 		}
-		if enough(err) {
-			return failure(err, lost)
+		if giveUp(err) {
+			return updateError(err, pendingAt)
 		}
-		if s.settle(ctx, p, err) != nil && ctx.Err() != nil {
-			return failure(ctx.Err(), lost)
+		if s.refreshAfterFailure(ctx, p, err) != nil && ctx.Err() != nil {
+			return updateError(ctx.Err(), pendingAt)
 		}
 	}
 }
 
-// noAppend says that no append of this update is without an answer.
-const noAppend int64 = -1
+// noPendingAppend means that every append of an update has been answered.
+const noPendingAppend int64 = -1
 
-func failure(cause error, lost int64) error {
-	if lost != noAppend {
+// updateError marks cause as ErrUnknownEffect if an append may still be carried out, and
+// as ErrUnsure otherwise.
+func updateError(cause error, pendingAt int64) error {
+	if pendingAt != noPendingAppend {
 		return errors.Mark(cause, ErrUnknownEffect)
 	}
 	return errors.Mark(cause, ErrUnsure)
 }
 
-func (p *partition) loaded(ctx context.Context) error {
-	if p.follow.Look(func(int64, <-chan struct{}) {}) {
+// ensureLoaded loads the partition if it has not been loaded yet.
+func (p *partition) ensureLoaded(ctx context.Context) error {
+	if p.follower.Look(func(int64, <-chan struct{}) {}) {
 		return nil
 	}
-	return p.sure(ctx)
+	return p.ensureFresh(ctx)
 }
 
+// decide calls decide on the partition's state. It returns the records and the
+// partition's end at that state.
 func (p *partition) decide(decide func(*jobs.Table) ([]store.Record, error)) (recs []store.Record, at int64, err error) {
-	p.follow.Look(func(end int64, _ <-chan struct{}) {
+	p.follower.Look(func(end int64, _ <-chan struct{}) {
 		at = end
 		recs, err = decide(p.table)
 	})
 	return recs, at, err
 }
 
-// appendOrSee appends, and returns as well when the partition is seen to have
-// moved on: then the records are there, or never will be. A lost answer is not waited
-// for when the records themselves come back sooner. With an error it returns the end at
-// which the call that failed was made.
-func (s *Store) appendOrSee(ctx context.Context, p *partition, recs []store.Record, at int64) (int64, error) {
-	if len(groups(recs, s.set.CallBytes)) > 1 {
-		return s.append(ctx, p, recs, at) // its own first call moves the partition on
+// appendOrObserve appends records. It also returns, without an error, as soon as the
+// follower sees that the partition's end has moved: the records are then either there or
+// can no longer be written. This way a lost answer does not delay the caller if the
+// follower reads the records sooner. With an error it returns the end at which the
+// failed call was made.
+func (s *Store) appendOrObserve(ctx context.Context, p *partition, recs []store.Record, at int64) (int64, error) {
+	if len(splitAppends(recs, s.settings.CallBytes)) > 1 {
+		return s.append(ctx, p, recs, at) // the first of several calls moves the end itself
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -328,8 +347,8 @@
 		answered <- err
 	}()
 	for {
-		moved, changed := p.movedFrom(at)
-		if moved {
+		advanced, changed := p.advancedPast(at)
+		if advanced {
 			return at, nil
 		}
 		select {
@@ -340,36 +359,39 @@
 	}
 }
 
-// movedFrom reports whether the partition ends beyond at.
-func (p *partition) movedFrom(at int64) (moved bool, changed <-chan struct{}) {
-	p.follow.Look(func(end int64, ch <-chan struct{}) { moved, changed = end > at, ch })
-	return moved, changed
+// advancedPast reports whether the partition's end is beyond at. The channel is closed
+// at the next change.
+func (p *partition) advancedPast(at int64) (advanced bool, changed <-chan struct{}) {
+	p.follower.Look(func(end int64, ch <-chan struct{}) { advanced, changed = end > at, ch })
+	return advanced, changed
 }
 
-// append writes records at an end, in as many calls as their size needs. Each
-// call requires the end that the one before left. With an error it returns the end
-// at which the call that failed was made: there it may still be carried out.
+// append writes records from the given end on, in as many calls as their size requires.
+// Each call is conditional on the end that the previous call left. With an error it
+// returns the end at which the failed call was made: that call may still be carried out
+// there.
 func (s *Store) append(ctx context.Context, p *partition, recs []store.Record, at int64) (int64, error) {
-	part := store.Partition{Topic: s.set.Topic, Number: p.number}
-	for group := range slices.Values(groups(recs, s.set.CallBytes)) {
+	part := store.Partition{Topic: s.settings.Topic, Number: p.number}
+	for group := range slices.Values(splitAppends(recs, s.settings.CallBytes)) {
 		if _, err := s.log.Append(ctx, part, group, at); err != nil {
 			return at, err
 		}
-		p.follow.Appended(group, at)
+		p.follower.Appended(group, at)
 		at += int64(len(group))
 	}
 	return at, nil
 }
 
-// recordOverhead is what a record takes beside its value: lengths and the key.
-const recordOverhead = 300
+// recordOverheadBytes is an allowance for a record's key and length fields.
+const recordOverheadBytes = 300
 
-// groups cuts records into appends of at most limit bytes.
-func groups(recs []store.Record, limit int) [][]store.Record {
+// splitAppends splits records into appends of at most limit bytes. A record that exceeds
+// the limit gets an append of its own.
+func splitAppends(recs []store.Record, limit int) [][]store.Record {
 	var out [][]store.Record
 	size := 0
 	for _, r := range recs {
-		n := len(r.Value) + recordOverhead
+		n := len(r.Value) + recordOverheadBytes
 		if len(out) == 0 || size+n > limit {
 			out = append(out, nil)
 			size = 0
@@ -380,18 +402,19 @@
 	return out
 }
 
-// settle brings the state up to date after an append that failed.
-func (s *Store) settle(ctx context.Context, p *partition, cause error) error {
+// refreshAfterFailure brings the state up to date after a failed append and waits for
+// the retry delay.
+func (s *Store) refreshAfterFailure(ctx context.Context, p *partition, cause error) error {
 	var conflict *store.ConflictError
-	pause := refusedPause
+	delay := refusedRetryDelay
 	if errors.As(cause, &conflict) {
-		pause = conflictPause
+		delay = conflictRetryDelay
 	}
-	err := p.follow.Catch(ctx, 0)
+	err := p.follower.Catch(ctx, 0)
 	if err != nil {
-		pause = refusedPause
+		delay = refusedRetryDelay
 	}
-	if werr := wait.For(ctx, pause); werr != nil {
+	if werr := wait.For(ctx, delay); werr != nil {
 		return werr
 	}
 	return err
--- a/jobstore/places.go
+++ b/jobstore/places.go
@@ -9,25 +9,25 @@
 	"pumiceford/wire"
 )
 
-// PartitionOf returns the partition of a job: its results are listed there.
+// PartitionOf returns the home partition of a job, where its results are listed.
 func (s *Store) PartitionOf(id string) int {
-	return int(hash(id) % uint32(s.set.Partitions))
+	return int(hash(id) % uint32(s.settings.Partitions))
 }
 
 func hash(s string) uint32 {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(s)) // a hash's Write never fails
+	_, _ = h.Write([]byte(s)) // Write of a hash never fails
 	return h.Sum32()
 }
 
-// alternatesOf returns the partitions that may take a job in for its own, the
-// first choice first. All processes find the same, so that who looks for a job
-// looks there and nowhere else.
+// alternatesOf returns the partitions that may accept a job in place of its home, in order
+// of preference. They depend on the id only, so that every process looks for a job in the
+// same partitions.
 func (s *Store) alternatesOf(id string) []int {
 	taken := map[int]bool{s.PartitionOf(id): true}
 	var out []int
-	for n := 0; len(out) < min(alternates, s.set.Partitions-1); n++ {
-		part := int(hash(strconv.Itoa(n)+"/"+id) % uint32(s.set.Partitions))
+	for n := 0; len(out) < min(alternateCount, s.settings.Partitions-1); n++ {
+		part := int(hash(strconv.Itoa(n)+"/"+id) % uint32(s.settings.Partitions))
 		if !taken[part] {
 			taken[part] = true
 			out = append(out, part)
@@ -36,8 +36,8 @@
 	return out
 }
 
-// knownHint returns the hint of a job and its partition, among the partitions that
-// are followed already.
+// knownHint returns the hint of a job and the partition that keeps it. It looks only at
+// partitions that this process follows already, and returns nil if none has the hint.
 func (s *Store) knownHint(id string) (*wire.JobSpec, int) {
 	for _, n := range s.alternatesOf(id) {
 		p := s.followed(n)
@@ -51,17 +51,18 @@
 	return nil, 0
 }
 
-// places returns the partitions that may take a job in now, its own first. It
-// returns none while the whole store is known to be away.
-func (s *Store) places(home *partition, id string) []int {
+// candidates returns the partitions that may accept a job now, its home first. It returns
+// none while the whole store is known to be unavailable. It starts a probe of a followed
+// partition that it leaves out.
+func (s *Store) candidates(home *partition, id string) []int {
 	now := time.Now()
-	if s.tries.away(now, outageTries, awayRest, s.lastSeen()) {
+	if s.storeHealth.unavailable(now, outageThreshold, unavailableBackoff, s.lastAnswer()) {
 		s.probe(home)
 		return nil
 	}
 	var out []int
 	for _, n := range append([]int{home.number}, s.alternatesOf(id)...) {
-		if !s.triesAt(n).away(now, 1, awayRest, s.seen(n)) {
+		if !s.healthOf(n).unavailable(now, 1, unavailableBackoff, s.lastAnswerOf(n)) {
 			out = append(out, n)
 		} else if p := s.followed(n); p != nil {
 			s.probe(p)
@@ -70,59 +71,60 @@
 	return out
 }
 
-// triesAt returns what tries at a partition showed, whether it is followed or not.
-func (s *Store) triesAt(number int) *health {
+// healthOf returns the health of a partition, whether it is followed or not.
+func (s *Store) healthOf(number int) *health {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.triesBy[number]
+	h := s.partitionHealth[number]
 	if h == nil {
 		h = &health{}
-		s.triesBy[number] = h
+		s.partitionHealth[number] = h
 	}
 	return h
 }
 
-// followed returns a partition that is followed already, nil otherwise: to follow the
-// alternates of each job would make a process follow four times what its callers ask
-// for.
+// followed returns a partition if this process follows it already, and nil otherwise.
+// Following the alternates of each job as well would make a process follow four times as
+// many partitions as its callers ask for.
 func (s *Store) followed(number int) *partition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.parts[number]
+	return s.partitions[number]
 }
 
-// seen returns when a partition was last seen to answer, zero when it is not
+// lastAnswerOf returns when a partition last answered, or the zero time if it is not
 // followed.
-func (s *Store) seen(number int) time.Time {
+func (s *Store) lastAnswerOf(number int) time.Time {
 	if p := s.followed(number); p != nil {
-		return p.follow.AsOf()
+		return p.follower.AsOf()
 	}
 	return time.Time{}
 }
 
-// probe looks whether a partition answers again, one look at a time. Without it
-// one caller in each second would have to find out, and would be held for it.
+// probe checks in the background whether a partition answers again. It runs at most one
+// check per partition at a time. Without it a caller's request would have to serve as the
+// check after each back-off and wait for its timeout.
 func (s *Store) probe(p *partition) {
 	select {
-	case p.probing <- struct{}{}:
+	case p.probeSlot <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		defer func() { <-p.probing }()
-		ctx, cancel := context.WithTimeout(s.base, probeTimeout)
+		defer func() { <-p.probeSlot }()
+		ctx, cancel := context.WithTimeout(s.baseCtx, probeTimeout)
 		defer cancel()
-		_ = p.follow.Catch(ctx, 0) // what it finds out is in the follower's own word
+		_ = p.follower.Catch(ctx, 0) // the follower records a success itself
 	}()
 }
 
-// lastSeen returns when any partition was last seen to answer.
-func (s *Store) lastSeen() time.Time {
+// lastAnswer returns when any followed partition last answered.
+func (s *Store) lastAnswer() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var last time.Time
-	for _, p := range s.parts {
-		if at := p.follow.AsOf(); at.After(last) {
+	for _, p := range s.partitions {
+		if at := p.follower.AsOf(); at.After(last) {
 			last = at
 		}
 	}
--- a/jobstore/progress.go
+++ b/jobstore/progress.go
@@ -11,29 +11,29 @@
 	"pumiceford/wire"
 )
 
-// ItemKey names an item of a job.
+// ItemKey identifies an item of a job.
 type ItemKey struct {
 	Job  string
 	Item int
 }
 
-// Progress is how far an unfinished item came. Its text is a prefix of the whole
-// output, and any target goes on after its last event.
+// Progress records how far an unfinished item has run. Text is a prefix of the item's
+// output, and any target can resume after the last complete event.
 type Progress struct {
 	Key  ItemKey
-	Last uint64 // last whole event
+	Last uint64 // last complete event
 	Text []byte
-	Done bool // the item is listed: what was kept is dropped
+	Done bool // the result is listed, so the saved progress is deleted
 }
 
-// maxProgressBytes is the most text that is kept of an unfinished item. It fits
-// one record; a longer output is started anew after a crash.
+// maxProgressBytes is the maximum size of the saved text of an item. It fits into one
+// record. An item with a longer output restarts from the beginning after a crash.
 const maxProgressBytes = 240 << 10
 
-// SaveProgress keeps how far items of a partition came, in a topic that nobody
-// follows: it is read only when another process takes the partition over. An
-// older word that overwrites a newer one costs some of the run and nothing else,
-// so these writes need no condition.
+// SaveProgress saves the progress of items of a partition. No process follows the
+// progress topic; it is read only when another process takes the partition over. The
+// writes are unconditional: if an older record overwrites a newer one, part of the run
+// is repeated and nothing else is lost.
 func (s *Store) SaveProgress(ctx context.Context, number int, all []Progress) error {
 	var recs []store.Record
 	for _, p := range all {
@@ -50,8 +50,8 @@
 		}
 		recs = append(recs, r)
 	}
-	for _, group := range groups(recs, s.set.CallBytes) {
-		part := store.Partition{Topic: s.set.ProgressTopic, Number: number}
+	for _, group := range splitAppends(recs, s.settings.CallBytes) {
+		part := store.Partition{Topic: s.settings.ProgressTopic, Number: number}
 		if _, err := s.log.Append(ctx, part, group, store.AnyEnd); err != nil {
 			return err
 		}
@@ -59,9 +59,10 @@
 	return nil
 }
 
-// LoadProgress returns how far items of a partition came.
+// LoadProgress returns the saved progress of the items of a partition. It skips records
+// that cannot be decoded.
 func (s *Store) LoadProgress(ctx context.Context, number int) ([]Progress, error) {
-	snap, err := store.NewestAll(ctx, s.log, store.Partition{Topic: s.set.ProgressTopic, Number: number})
+	snap, err := store.NewestAll(ctx, s.log, store.Partition{Topic: s.settings.ProgressTopic, Number: number})
 	if err != nil {
 		return nil, err
 	}
@@ -71,7 +72,7 @@
 		index, err := strconv.Atoi(item)
 		var p wire.ItemProgress
 		if !ok || err != nil || proto.Unmarshal(r.Value, &p) != nil {
-			s.out.Warn("progress record cannot be read; the item starts anew")
+			s.logger.Warn("progress record cannot be decoded; the item restarts from the beginning")
 			continue
 		}
 		out = append(out, Progress{Key: ItemKey{job, index}, Last: p.GetLastEvent(), Text: p.GetText()})
--- a/jobstore/read.go
+++ b/jobstore/read.go
@@ -9,7 +9,7 @@
 	"pumiceford/wire"
 )
 
-// Results is a part of a job's results.
+// Results is a range of a job's results.
 type Results struct {
 	Total int
 	Next  int // position after the last one returned
@@ -23,17 +23,18 @@
 	Text []byte
 }
 
-// MaxResultBytes bounds the texts of one answer. At least one result is returned.
+// MaxResultBytes bounds the total size of the texts in one Results, except that a single
+// result may exceed it.
 const MaxResultBytes = 900 << 10
 
-// Results returns the results from a position on. With none there it waits for one, for
-// longest at most.
-func (s *Store) Results(ctx context.Context, id string, from int, longest time.Duration) (Results, error) {
+// Results returns the results of a job from a position on. If there are none yet and the
+// job has more to come, it waits for one for at most maxWait.
+func (s *Store) Results(ctx context.Context, id string, from int, maxWait time.Duration) (Results, error) {
 	p, err := s.find(ctx, id)
 	if err != nil {
 		return Results{}, err
 	}
-	for until := time.Now().Add(longest); ; {
+	for until := time.Now().Add(maxWait); ; {
 		res, changed, ok := p.results(id, from)
 		if !ok {
 			return Results{}, ErrUnknownJob
@@ -45,8 +46,8 @@
 			break
 		}
 	}
-	// Nothing there so far. Another process may have told of a result already.
-	if err := p.sure(context.WithoutCancel(ctx)); err != nil {
+	// Another process may have returned a result already that is not known here yet.
+	if err := p.ensureFresh(context.WithoutCancel(ctx)); err != nil {
 		return Results{}, err
 	}
 	res, _, ok := p.results(id, from)
@@ -56,20 +57,23 @@
 	return res, nil
 }
 
+// results returns the results of a job from a position on and a channel that is closed at
+// the next change. ok is false if the partition does not have the job.
 func (p *partition) results(id string, from int) (res Results, changed <-chan struct{}, ok bool) {
-	p.follow.Look(func(_ int64, ch <-chan struct{}) {
+	p.follower.Look(func(_ int64, ch <-chan struct{}) {
 		changed = ch
 		j := p.table.Get(id)
 		if j == nil {
 			return
 		}
 		ok = true
-		res = slice(j, from)
+		res = resultsFrom(j, from)
 	})
 	return res, changed, ok
 }
 
-func slice(j *jobs.Job, from int) Results {
+// resultsFrom returns the results of j from a position on, up to MaxResultBytes.
+func resultsFrom(j *jobs.Job, from int) Results {
 	res := Results{Total: j.Total(), Next: from}
 	bytes := 0
 	for {
@@ -83,17 +87,18 @@
 	}
 }
 
-// Has reports whether a job is known here, without asking the store.
+// Has reports whether this process knows the job from a partition that it follows. It
+// does not read the store.
 func (s *Store) Has(id string) bool {
 	p := s.followed(s.PartitionOf(id))
 	return p != nil && p.has(id)
 }
 
-// Body returns the body of an item that is not listed yet. It is the same in the
-// job's own partition and in one that keeps the job for it.
+// Body returns the body of an item that is not listed yet. A hint may serve it, since the
+// hint and the job in the home partition have the same body.
 func (s *Store) Body(ctx context.Context, id, item string) ([]byte, error) {
 	if hint, _ := s.knownHint(id); hint != nil {
-		if body, ok := bodyIn(hint, item); ok {
+		if body, ok := itemBody(hint, item); ok {
 			return body, nil
 		}
 	}
@@ -108,15 +113,15 @@
 }
 
 func (p *partition) body(id, item string) (body []byte, ok bool) {
-	p.follow.Look(func(int64, <-chan struct{}) {
+	p.follower.Look(func(int64, <-chan struct{}) {
 		if j := p.table.Get(id); j != nil {
-			body, ok = bodyIn(j.Spec, item)
+			body, ok = itemBody(j.Spec, item)
 		}
 	})
 	return body, ok
 }
 
-func bodyIn(spec *wire.JobSpec, item string) ([]byte, bool) {
+func itemBody(spec *wire.JobSpec, item string) ([]byte, bool) {
 	for _, it := range spec.GetItems() {
 		if it.GetId() == item {
 			return it.GetBody(), true
@@ -125,34 +130,33 @@
 	return nil, false
 }
 
-// OpenItem is an item that still has to run.
+// OpenItem is an item without a listed result.
 type OpenItem struct {
-	Home       int // partition where its result is listed
+	Home       int // partition in which its result is listed
 	Job        string
 	Index      int
 	Spec       *wire.JobSpec
 	Item       *wire.JobItem
-	Failed     int // attempts that failed, as far as written down
-	Impossible bool
-	// HandOff is the spec for the job's own partition when that may not have it
-	// yet, nil otherwise.
+	Failed     int  // recorded number of failed attempts
+	Impossible bool // a target reported that the item can never succeed
+	// HandOff is the spec to store in the home partition if that may not have the job yet,
+	// and nil otherwise.
 	HandOff *wire.JobSpec
 }
 
-// Key returns what names the item.
+// Key returns the item's key.
 func (o OpenItem) Key() ItemKey {
 	return ItemKey{Job: o.Job, Item: o.Index}
 }
 
-// Open returns the items that the runner of a partition still has to run: those of
-// its own jobs and of the jobs that it keeps for other partitions. Other partitions
-// are looked at after it, never at the same time: two followers are not locked
-// together.
+// Open returns the items that the runner of a partition still has to run: those of the
+// partition's own jobs and those of the hints that it keeps for other partitions. It locks
+// one follower at a time, so it reads the other partitions after this one.
 func (s *Store) Open(number int) []OpenItem {
-	p := s.at(number)
+	p := s.forRunner(number)
 	var items []OpenItem
 	var hints []*wire.JobSpec
-	p.follow.Look(func(int64, <-chan struct{}) {
+	p.follower.Look(func(int64, <-chan struct{}) {
 		for _, j := range p.table.Jobs() {
 			if j.Open() && runFrom(j.Spec, number) == number {
 				items = append(items, openItems(j, number)...)
@@ -166,20 +170,20 @@
 	return items
 }
 
-// openHint returns the open items of a job that a partition keeps for another.
+// openHint returns the open items of a hint that partition number keeps.
 func (s *Store) openHint(hint *wire.JobSpec, number int) (items []OpenItem) {
-	home := s.at(s.PartitionOf(hint.GetId()))
-	there := false
-	home.follow.Look(func(int64, <-chan struct{}) {
+	home := s.forRunner(s.PartitionOf(hint.GetId()))
+	accepted := false
+	home.follower.Look(func(int64, <-chan struct{}) {
 		j := home.table.Get(hint.GetId())
-		if there = j != nil; there && j.Open() && runFrom(j.Spec, home.number) == number {
+		if accepted = j != nil; accepted && j.Open() && runFrom(j.Spec, home.number) == number {
 			items = openItems(j, home.number)
 		}
 	})
-	if there {
+	if accepted {
 		return items
 	}
-	spec := handedOff(hint, number)
+	spec := handOffSpec(hint, number)
 	for i, it := range spec.GetItems() {
 		items = append(items, OpenItem{Home: home.number, Job: spec.GetId(), Index: i, Spec: spec, Item: it, HandOff: spec})
 	}
@@ -198,12 +202,13 @@
 	return out
 }
 
-// AsOf returns the moment up to which a partition's state is known.
+// AsOf returns the time up to which a partition's state is known to be complete.
 func (s *Store) AsOf(number int) time.Time {
-	return s.at(number).follow.AsOf()
+	return s.forRunner(number).follower.AsOf()
 }
 
-// Refresh makes sure that a partition's state is at most maxAge old.
+// Refresh ensures that a partition's state is at most maxAge old. It reads the store if
+// necessary.
 func (s *Store) Refresh(ctx context.Context, number int, maxAge time.Duration) error {
-	return s.at(number).follow.Catch(ctx, maxAge)
+	return s.forRunner(number).follower.Catch(ctx, maxAge)
 }
