--- a/jobstore/jobstore_test.go
+++ b/jobstore/jobstore_test.go
@@ -34,7 +34,8 @@
 	return s
 }
 
-// inBubble runs fn in virtual time and ends everything that it started.
+// inBubble runs fn in virtual time. It then cancels ctx and waits for all goroutines that
+// fn started.
 func inBubble(t *testing.T, fn func(ctx context.Context, t *testing.T)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -44,55 +45,53 @@
 	})
 }
 
-// Symptom: a job runs that its client was told would not run.
-// Sequence: the append of the job gets no answer, the client is told "not run"
-// when the time is over, and the store carries the append out seconds later.
-// Cause: "no answer" taken for "not done".
-func TestNotRunIsNotSaidWhileTheAppendMayStillCome(t *testing.T) {
+// Guards against a job that runs although its client was told that it would not. The append
+// of the job gets no answer before the deadline, and the store carries it out seconds later.
+// A missing answer must not be reported as "not run".
+func TestLateAppendReportsOutcomeUnknown(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
 		st := open(ctx, s.For("a"))
-		_, _ = st.Results(ctx, "none", 0, 0) // loads the partition
+		_, _ = st.Results(ctx, "none", 0, 0) // load the partition
 		s.SetFault("a", sharedstore.Late)
-		one, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
+		callCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 		defer cancel()
-		err := st.Accept(one, spec("job", 1))
+		err := st.Accept(callCtx, spec("job", 1))
 		if !errors.Is(err, jobstore.ErrUnknownEffect) {
-			t.Fatalf("got %v, want an unknown effect", err)
+			t.Fatalf("got %v, want an unknown outcome", err)
 		}
 		time.Sleep(5 * time.Second)
 		if _, err := open(ctx, s.For("b")).Results(ctx, "job", 0, 0); err != nil {
-			t.Fatalf("the late append did not come: %v", err)
+			t.Fatalf("the late append was not carried out: %v", err)
 		}
 	})
 }
 
-// Symptom: a job runs that its client was told would not run.
-// Sequence: a job needs two appends. The first is done; the second gets no answer,
-// is refused when tried again, and is carried out after the client was told.
-// Cause: only an append at the partition's first end was remembered as one that
-// may still come.
-func TestNotRunIsNotSaidWhileTheRestMayStillCome(t *testing.T) {
+// Guards against the same failure for a job that needs two appends. The first succeeds; the
+// second gets no answer, is refused on the retry, and is carried out after the client has
+// been answered. An append at any end may be pending, not only one at the end at which the
+// write began.
+func TestLateSecondAppendReportsOutcomeUnknown(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
 		a := &secondAppendLate{Log: s.For("a"), faults: s}
 		st := open(ctx, a)
-		_, _ = st.Results(ctx, "none", 0, 0) // loads the partition
-		one, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
+		_, _ = st.Results(ctx, "none", 0, 0) // load the partition
+		callCtx, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
 		defer cancel()
-		err := st.Accept(one, bigSpec("job"))
+		err := st.Accept(callCtx, bigSpec("job"))
 		if !errors.Is(err, jobstore.ErrUnknownEffect) {
-			t.Fatalf("got %v, want an unknown effect", err)
+			t.Fatalf("got %v, want an unknown outcome", err)
 		}
 		time.Sleep(2 * sharedstore.LateBy)
 		if _, err := open(ctx, s.For("b")).Results(ctx, "job", 0, 0); err != nil {
-			t.Fatalf("the late append did not come: %v", err)
+			t.Fatalf("the late append was not carried out: %v", err)
 		}
 	})
 }
 
-// secondAppendLate lets the second append come late without an answer, and has
-// the store refuse this host after it.
+// secondAppendLate delays the second append so that it gets no answer, and makes the store
+// refuse this host afterwards.
 type secondAppendLate struct {
 	store.Log
 	faults  *sharedstore.Store
@@ -120,44 +119,41 @@
 	return big
 }
 
-// Symptom: a client is left without an answer although nothing was done.
-// Sequence: the store refuses each call until the client's time is over.
-// Cause: every failure counted as an unknown effect.
-func TestRefusedAppendIsCertainlyNotDone(t *testing.T) {
+// Guards against an unknown outcome being reported although nothing was written: the store
+// refuses each call until the client's deadline.
+func TestRefusedAppendReportsNotRun(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
 		st := open(ctx, s.For("a"))
 		_, _ = st.Results(ctx, "none", 0, 0)
 		s.SetFault("a", sharedstore.Refuse)
-		one, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
+		callCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 		defer cancel()
-		if err := st.Accept(one, spec("job", 1)); !errors.Is(err, jobstore.ErrUnsure) || errors.Is(err, jobstore.ErrUnknownEffect) {
-			t.Fatalf("got %v, want a certain refusal", err)
+		if err := st.Accept(callCtx, spec("job", 1)); !errors.Is(err, jobstore.ErrUnsure) || errors.Is(err, jobstore.ErrUnknownEffect) {
+			t.Fatalf("got %v, want the certain answer that nothing was written", err)
 		}
 	})
 }
 
-// Symptom: a job is accepted after a second, though the store took it at once.
-// Sequence: the store carries the append out and loses its answer.
-// Cause: the answer was waited for, although the record had come back already.
-func TestALostAnswerIsNotWaitedFor(t *testing.T) {
+// Guards against an acceptance that takes a second although the store wrote the job at once.
+// The store loses the answer to the append, but the follower reads the record back.
+func TestAcceptReturnsOnceItsRecordIsRead(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
 		st := open(ctx, s.For("a"))
-		_, _ = st.Results(ctx, "none", 0, 0) // loads the partition
+		_, _ = st.Results(ctx, "none", 0, 0) // load the partition
 		s.SetFault("a", sharedstore.LoseAnswer)
 		began := time.Now()
 		if err := st.Accept(ctx, spec("job", 1)); err != nil || time.Since(began) > 100*time.Millisecond {
-			t.Fatalf("%v after %s", err, time.Since(began))
+			t.Fatalf("Accept returned %v after %s, want nil within 100ms", err, time.Since(began))
 		}
 	})
 }
 
-// Symptom: a late append of a writer that was thought dead changes a job.
-// Sequence: a result's append gets no answer; the partition moves on; the append
-// is carried out.
-// Cause: an append without a condition on the partition's end.
-func TestLateAppendOfAPausedWriterDoesNothing(t *testing.T) {
+// Guards against a late append that changes a job. The append of a result gets no answer, and
+// the store carries it out after another process has written to the partition. The condition
+// on the partition's end must reject it.
+func TestLateAppendOfPausedWriterHasNoEffect(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
 		a, b := open(ctx, s.For("a")), open(ctx, s.For("b"))
@@ -165,103 +161,103 @@
 			t.Fatal(err)
 		}
 		s.SetFault("a", sharedstore.Late)
-		one, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
+		callCtx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 		defer cancel()
-		_ = a.List(one, 0, []jobs.Outcome{{Job: "job", Item: 0, Text: []byte("old")}})
+		_ = a.List(callCtx, 0, []jobs.Outcome{{Job: "job", Item: 0, Text: []byte("old")}})
 		if err := b.List(ctx, 0, []jobs.Outcome{{Job: "job", Item: 0, Text: []byte("new")}}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * sharedstore.LateBy)
 		res, err := open(ctx, s.For("c")).Results(ctx, "job", 0, 0)
 		if err != nil || len(res.Items) != 1 || string(res.Items[0].Text) != "new" {
-			t.Fatalf("results %v %v", res, err)
+			t.Fatalf("got results %v and error %v, want the one result \"new\"", res, err)
 		}
 	})
 }
 
-// Symptom: "no such job" for a job that another node accepted, or for any while
-// the store is away.
-// Cause: an absence told from an old state.
-func TestAbsenceIsOnlyToldWhenCertain(t *testing.T) {
+// Guards against a job reported as not found, because the local state is stale, when another
+// node has accepted it or the store does not answer.
+func TestUnknownJobRequiresFreshState(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
 		a, b := open(ctx, s.For("a")), open(ctx, s.For("b"))
 		if _, err := b.Results(ctx, "job", 0, 0); !errors.Is(err, jobstore.ErrUnknownJob) {
-			t.Fatalf("got %v, want no such job", err)
+			t.Fatalf("got %v, want job not found", err)
 		}
 		if err := a.Accept(ctx, spec("job", 1)); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(settle)
+		time.Sleep(propagationTime)
 		if _, err := b.Results(ctx, "job", 0, 0); err != nil {
-			t.Fatalf("accepted job: %v", err)
+			t.Fatalf("results of an accepted job: %v", err)
 		}
 		s.SetFault("b", sharedstore.Refuse)
 		time.Sleep(time.Second)
 		if _, err := b.Results(ctx, "other", 0, 0); !errors.Is(err, jobstore.ErrUnsure) {
-			t.Fatalf("got %v, want no certainty", err)
+			t.Fatalf("got %v, want an unavailable store", err)
 		}
 		if res, err := b.Results(ctx, "job", 0, 0); !errors.Is(err, jobstore.ErrUnsure) {
-			t.Fatalf("nothing listed and not certain: %v %v", res, err)
+			t.Fatalf("no listed result and stale state: got %v and error %v, want an unavailable store", res, err)
 		}
 	})
 }
 
-// A job that needs several appends is whole, or not there.
-func TestAJobOfManyRecords(t *testing.T) {
+// Checks that a job that needs several appends is readable in full at another process.
+func TestJobOfSeveralAppendsIsComplete(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
 		a, b := open(ctx, s.For("a")), open(ctx, s.For("b"))
 		if err := a.Accept(ctx, bigSpec("job")); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(settle)
+		time.Sleep(propagationTime)
 		body, err := b.Body(ctx, "job", "job199")
 		if err != nil || len(body) != 20<<10 {
-			t.Fatalf("%d bytes, %v", len(body), err)
+			t.Fatalf("got a body of %d bytes and error %v, want 20480 bytes", len(body), err)
 		}
 	})
 }
 
-// Symptom: two jobs under one id, one of them lost.
-// Cause: a resend was taken in without looking, or another job for a resend.
-func TestResendIsTheSameJobAndAnotherIsRefused(t *testing.T) {
+// Guards against two jobs under one id, of which one is lost: a resend must not be stored
+// again, and a different job must not be taken for a resend.
+func TestResendIsIdempotentAndOtherJobIsRefused(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
 		a, b := open(ctx, s.For("a")), open(ctx, s.For("b"))
 		again := spec("job", 2)
-		again.AcceptedUnixMs = 77 // it came later
+		again.AcceptedUnixMs = 77 // a resend is accepted later
 		for _, st := range []*jobstore.Store{a, b} {
 			if err := st.Accept(ctx, again); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if n := len(s.Records(store.Partition{Topic: topic})); n != 1 {
-			t.Fatalf("%d records for one job", n)
+			t.Fatalf("got %d records for one job, want 1", n)
 		}
 		if err := b.Accept(ctx, spec("job", 3)); !errors.Is(err, jobstore.ErrOtherJob) {
-			t.Fatalf("got %v for another job", err)
+			t.Fatalf("got %v for a different job, want a conflict", err)
 		}
 	})
 }
 
-// settle is how long after an acceptance or a first read every node has to know.
-const settle = time.Second
+// propagationTime is the time within which every node must know an accepted job or a result
+// that a caller has read.
+const propagationTime = time.Second
 
-// oracle is what callers were told: a job that was accepted stays, and a result
-// that was read keeps its place and content.
+// oracle records the answers that callers got and checks later answers against them: an
+// accepted job stays readable, and a result keeps its position and content once read.
 type oracle struct {
 	accepted map[string]time.Time
-	denied   map[string]bool // told "not run" each time
-	read     map[string]told
+	denied   map[string]bool // every answer so far was "not run"
+	read     map[string]readResult
 }
 
-type told struct {
+type readResult struct {
 	text string
 	at   time.Time
 }
 
-// move is one step of a drawn story.
+// move is one randomly drawn step of a test run.
 type move struct {
 	Kind, Node, Job, Item, Ms int
 }
@@ -288,12 +284,12 @@
 	}
 }
 
-// checkStories draws stories of moves and plays each in virtual time. What play returns
-// is what failed, "" for nothing.
-func checkStories[M any](t *testing.T, draw func(*rapid.T) M, least, most int, play func(context.Context, []M) string) {
+// checkMoves draws sequences of moves and runs each in virtual time with play, which
+// returns a description of the failure, or "" for none.
+func checkMoves[M any](t *testing.T, draw func(*rapid.T) M, minMoves, maxMoves int, play func(context.Context, []M) string) {
 	rapid.Check(t, func(rt *rapid.T) {
-		// All is drawn before the bubble: rapid ends a draw by a panic.
-		moves := rapid.SliceOfN(rapid.Custom(draw), least, most).Draw(rt, "moves")
+		// All moves are drawn outside the synctest bubble, because rapid ends a draw by a panic.
+		moves := rapid.SliceOfN(rapid.Custom(draw), minMoves, maxMoves).Draw(rt, "moves")
 		var failure string
 		synctest.Test(t, func(*testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
@@ -307,21 +303,19 @@
 	})
 }
 
-// Symptom: any of an accepted job lost, a result moved or changed, a job there
-// that was refused.
-// Sequence: three nodes take jobs in, list results and read them while the store
-// refuses, loses answers, is late, stays silent or forgets its history, and while
-// all nodes lose their memory.
-// Cause: whatever breaks one of the promises that the oracle knows.
-func TestPromisesUnderDrawnFaults(t *testing.T) {
-	checkStories(t, drawMove, 5, 60, play)
+// Guards against accepted jobs that are lost, results that move or change, and refused jobs
+// that exist. Three nodes accept jobs, list results and read them while the store refuses
+// calls, loses answers, answers late or not at all or drops its history, and while all nodes
+// restart without their state.
+func TestGuaranteesUnderRandomFaults(t *testing.T) {
+	checkMoves(t, drawMove, 5, 60, playMoves)
 }
 
 var faults = []sharedstore.Fault{
 	sharedstore.None, sharedstore.None, sharedstore.Refuse, sharedstore.Silent, sharedstore.LoseAnswer, sharedstore.Late,
 }
 
-func play(ctx context.Context, moves []move) string {
+func playMoves(ctx context.Context, moves []move) string {
 	s := sharedstore.New(1)
 	hosts := []string{"a", "b", "c"}
 	nodes := make([]*jobstore.Store, len(hosts))
@@ -331,10 +325,10 @@
 		}
 	}
 	restart()
-	o := oracle{accepted: make(map[string]time.Time), denied: make(map[string]bool), read: make(map[string]told)}
+	o := oracle{accepted: make(map[string]time.Time), denied: make(map[string]bool), read: make(map[string]readResult)}
 	for i, m := range moves {
 		id := fmt.Sprint("job", m.Job)
-		one, cancel := context.WithTimeout(ctx, time.Duration(m.Ms)*time.Millisecond)
+		callCtx, cancel := context.WithTimeout(ctx, time.Duration(m.Ms)*time.Millisecond)
 		failure := ""
 		switch m.Kind {
 		case moveFault:
@@ -346,12 +340,12 @@
 		case moveSleep:
 			time.Sleep(time.Duration(m.Ms) * time.Millisecond)
 		case moveAccept:
-			o.accept(id, nodes[m.Node].Accept(one, spec(id, 3)))
+			o.accept(id, nodes[m.Node].Accept(callCtx, spec(id, 3)))
 		case moveList:
-			// Whether it was listed is seen by reading.
-			_ = nodes[m.Node].List(one, 0, []jobs.Outcome{{Job: id, Item: m.Item, Text: []byte(fmt.Sprint("t", i))}})
+			// A later read shows whether the result was listed.
+			_ = nodes[m.Node].List(callCtx, 0, []jobs.Outcome{{Job: id, Item: m.Item, Text: []byte(fmt.Sprint("t", i))}})
 		case moveRead:
-			failure = o.check(one, nodes[m.Node], id)
+			failure = o.check(callCtx, nodes[m.Node], id)
 		}
 		cancel()
 		if failure != "" {
@@ -373,12 +367,12 @@
 
 func (o *oracle) accept(id string, err error) {
 	if err != nil && !errors.Is(err, jobstore.ErrUnknownEffect) {
-		if _, asked := o.denied[id]; !asked {
+		if _, known := o.denied[id]; !known {
 			o.denied[id] = true
 		}
 		return
 	}
-	o.denied[id] = false // it may be there, rightly
+	o.denied[id] = false // the job may exist now
 	if _, known := o.accepted[id]; err == nil && !known {
 		o.accepted[id] = time.Now()
 	}
@@ -389,36 +383,36 @@
 	res, err := st.Results(ctx, id, 0, 0)
 	at, accepted := o.accepted[id]
 	switch {
-	case errors.Is(err, jobstore.ErrUnknownJob) && accepted && began.Sub(at) >= settle:
-		return id + " was accepted and is gone"
+	case errors.Is(err, jobstore.ErrUnknownJob) && accepted && began.Sub(at) >= propagationTime:
+		return id + " was accepted and is not found"
 	case err != nil:
 		return ""
 	case o.denied[id]:
-		return id + " was refused as not run and is there"
+		return id + " was refused as not run and exists"
 	}
 	for pos := range 3 {
 		key := fmt.Sprint(id, "/", pos)
-		was, known := o.read[key]
+		earlier, known := o.read[key]
 		if pos >= len(res.Items) {
-			if known && began.Sub(was.at) >= settle {
-				return fmt.Sprintf("%s was %q and is gone", key, was.text)
+			if known && began.Sub(earlier.at) >= propagationTime {
+				return fmt.Sprintf("%s was %q and is not listed", key, earlier.text)
 			}
 			continue
 		}
-		now := res.Items[pos].ID + string(res.Items[pos].Text)
-		if known && was.text != now {
-			return fmt.Sprintf("%s was %q and is %q", key, was.text, now)
+		got := res.Items[pos].ID + string(res.Items[pos].Text)
+		if known && earlier.text != got {
+			return fmt.Sprintf("%s was %q and is %q", key, earlier.text, got)
 		}
 		if !known {
-			o.read[key] = told{text: now, at: time.Now()}
+			o.read[key] = readResult{text: got, at: time.Now()}
 		}
 	}
 	return ""
 }
 
-// Symptom: items of a killed runner start anew.
-// Cause: progress that was not kept, or not dropped when the item was done.
-func TestProgressIsKeptAndDropped(t *testing.T) {
+// Guards against items of a killed runner that restart from the beginning because their
+// progress was not saved, and against progress that remains after the item is done.
+func TestProgressIsSavedAndDropped(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
 		st := open(ctx, s.For("a"))
@@ -432,7 +426,7 @@
 		}
 		got, err := open(ctx, s.For("b")).LoadProgress(ctx, 0)
 		if err != nil || len(got) != 1 || got[0].Key != k || got[0].Last != 9 || string(got[0].Text) != "nine" {
-			t.Fatalf("%v %v", got, err)
+			t.Fatalf("got progress %v and error %v, want only that of item 1", got, err)
 		}
 	})
 }
