--- a/peers/grants.go
+++ b/peers/grants.go
@@ -12,16 +12,16 @@
 
 // Bounds of sessions for grants.
 const (
-	// grantIdle is how long a session is kept after its last use.
-	grantIdle = 20 * time.Second
-	// grantBeat is the interval of heartbeats on these sessions, idle or not: the longest that
+	// grantIdleTimeout is how long a session is kept after its last use.
+	grantIdleTimeout = 20 * time.Second
+	// grantHeartbeat is the interval of heartbeats on these sessions, idle or not: the longest that
 	// the other side waits for. Each question has a bound of its own, so a silent session need
 	// not be found sooner.
-	grantBeat = link.DefaultIdleEvery
-	// replaceAfter is how long a session may give no answer before another one is opened. A
+	grantHeartbeat = link.DefaultIdleEvery
+	// unansweredTimeout is how long a session may give no answer before another one is opened. A
 	// host that is slow for a moment must not open one for each late answer, which would keep
 	// it slow.
-	replaceAfter = 1500 * time.Millisecond
+	unansweredTimeout = 1500 * time.Millisecond
 )
 
 // Grants puts questions about rate limits to other processes over sessions that are kept
@@ -29,23 +29,23 @@
 type Grants struct {
 	cfg link.Config
 
-	mu    sync.Mutex
-	links map[string]*grantLink
-	swept time.Time
+	mu       sync.Mutex
+	sessions map[string]*grantSession
+	sweptAt  time.Time
 }
 
-type grantLink struct {
-	peer *link.Peer
-	used time.Time
+type grantSession struct {
+	peer     *link.Peer
+	lastUsed time.Time
 	// silent is when the first question was put that has no answer, of those since the last
 	// answer; zero for none.
-	silent time.Time
+	unansweredSince time.Time
 }
 
 // NewGrants returns Grants.
 func NewGrants(cfg link.Config) *Grants {
-	cfg.IdleEvery, cfg.HeartbeatEvery = grantBeat, grantBeat
-	return &Grants{cfg: cfg, links: make(map[string]*grantLink)}
+	cfg.IdleEvery, cfg.HeartbeatEvery = grantHeartbeat, grantHeartbeat
+	return &Grants{cfg: cfg, sessions: make(map[string]*grantSession)}
 }
 
 // Ask implements ratelimit.Asker.
@@ -77,52 +77,52 @@
 // call puts a question.
 func (g *Grants) call(ctx context.Context, addr string, ask *wire.GrantAsk) (*wire.GrantReply, error) {
 	asked := time.Now()
-	l := g.link(addr)
+	l := g.session(addr)
 	r := &wire.GrantReply{}
 	err := l.peer.Call(ctx, link.Control, &wire.Call{Kind: &wire.Call_Grant{Grant: ask}}, r)
-	g.note(addr, l, asked, err == nil)
+	g.recordResult(addr, l, asked, err == nil)
 	return r, err
 }
 
-// note notes whether a question was answered, and closes a session that has given no answer
+// recordResult notes whether a question was answered, and closes a session that has given no answer
 // for too long.
-func (g *Grants) note(addr string, l *grantLink, asked time.Time, answered bool) {
+func (g *Grants) recordResult(addr string, l *grantSession, asked time.Time, answered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
 	case answered:
-		l.silent = time.Time{}
-	case l.silent.IsZero():
-		l.silent = asked
-	case g.links[addr] == l && time.Since(l.silent) >= replaceAfter:
+		l.unansweredSince = time.Time{}
+	case l.unansweredSince.IsZero():
+		l.unansweredSince = asked
+	case g.sessions[addr] == l && time.Since(l.unansweredSince) >= unansweredTimeout:
 		l.peer.Close()
-		delete(g.links, addr)
+		delete(g.sessions, addr)
 	}
 }
 
-func (g *Grants) link(addr string) *grantLink {
+func (g *Grants) session(addr string) *grantSession {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if now.Sub(g.swept) > grantIdle {
+	if now.Sub(g.sweptAt) > grantIdleTimeout {
 		g.sweep(now)
 	}
-	l := g.links[addr]
+	l := g.sessions[addr]
 	if l == nil {
-		l = &grantLink{peer: link.NewPeer(g.cfg, addr)}
-		g.links[addr] = l
+		l = &grantSession{peer: link.NewPeer(g.cfg, addr)}
+		g.sessions[addr] = l
 	}
-	l.used = now
+	l.lastUsed = now
 	return l
 }
 
 // sweep closes the sessions that are not used any more. g.mu is held.
 func (g *Grants) sweep(now time.Time) {
-	g.swept = now
-	for addr, l := range g.links {
-		if now.Sub(l.used) > grantIdle {
+	g.sweptAt = now
+	for addr, l := range g.sessions {
+		if now.Sub(l.lastUsed) > grantIdleTimeout {
 			l.peer.Close()
-			delete(g.links, addr)
+			delete(g.sessions, addr)
 		}
 	}
 }
@@ -131,9 +131,9 @@
 func (g *Grants) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for addr, l := range g.links {
+	for addr, l := range g.sessions {
 		l.peer.Close()
-		delete(g.links, addr)
+		delete(g.sessions, addr)
 	}
 }
 
--- a/peers/grants_test.go
+++ b/peers/grants_test.go
@@ -14,20 +14,20 @@
 	"pumiceford/ratelimit"
 )
 
-// granting is a process that grants whatever it is asked for, after a while.
-type granting struct {
-	takes time.Duration
+// slowGranter is a process that grants whatever it is asked for, after a while.
+type slowGranter struct {
+	delay time.Duration
 }
 
 // Grant implements peers.Granter.
-func (g granting) Grant(a ratelimit.Ask) ratelimit.Reply {
-	time.Sleep(g.takes)
+func (g slowGranter) Grant(a ratelimit.Ask) ratelimit.Reply {
+	time.Sleep(g.delay)
 	return ratelimit.Reply{Outcome: ratelimit.Granted, Granted: a.Want}
 }
 
-// asking plays questions to a process that takes so long for each, and returns how many
+// askRepeatedly plays questions to a process that takes so long for each, and returns how many
 // were answered, and how many sessions and messages they took.
-func asking(t *testing.T, takes time.Duration, questions int, every time.Duration) (answered, dials, writes int) {
+func askRepeatedly(t *testing.T, takes time.Duration, questions int, every time.Duration) (answered, dials, writes int) {
 	t.Helper()
 	runtime.GC() // as in bubble
 	runtime.GC()
@@ -37,13 +37,13 @@
 			cancel()
 			time.Sleep(time.Minute)
 		}()
-		server := &peers.Server{Granter: granting{takes}}
+		server := &peers.Server{Granter: slowGranter{takes}}
 		var written atomic.Int64
 		g := peers.NewGrants(link.Config{Dial: func(context.Context, string) (net.Conn, error) {
 			dials++
 			near, far := net.Pipe()
 			go link.ServeConn(ctx, far, link.Config{Handle: server.Handle})
-			return counted{near, &written}, nil
+			return countingConn{near, &written}, nil
 		}})
 		defer g.Close()
 		for i := range questions {
@@ -64,14 +64,14 @@
 	return answered, dials, writes
 }
 
-// counted counts what is written to a connection.
-type counted struct {
+// countingConn counts what is written to a connection.
+type countingConn struct {
 	net.Conn
-	written *atomic.Int64
+	writes *atomic.Int64
 }
 
-func (c counted) Write(p []byte) (int, error) {
-	c.written.Add(1)
+func (c countingConn) Write(p []byte) (int, error) {
+	c.writes.Add(1)
 	return c.Conn.Write(p)
 }
 
@@ -79,7 +79,7 @@
 // it all the while.
 func TestASessionForGrantsLasts(t *testing.T) {
 	const questions = 40
-	answered, dials, _ := asking(t, 0, questions, 6*time.Second)
+	answered, dials, _ := askRepeatedly(t, 0, questions, 6*time.Second)
 	if answered != questions || dials != 1 {
 		t.Errorf("%d of %d answered over %d sessions", answered, questions, dials)
 	}
@@ -90,7 +90,7 @@
 func TestLateAnswersCostFewSessions(t *testing.T) {
 	const questions, each = 40, 100 * time.Millisecond
 	const most = 1 + questions*each/(1500*time.Millisecond)
-	if _, dials, _ := asking(t, 150*time.Millisecond, questions, 20*time.Millisecond); dials > int(most) {
+	if _, dials, _ := askRepeatedly(t, 150*time.Millisecond, questions, 20*time.Millisecond); dials > int(most) {
 		t.Errorf("%d sessions for %d late answers", dials, questions)
 	}
 }
@@ -98,8 +98,8 @@
 // Guards against questions that each bring a heartbeat with them.
 func TestAQuestionBringsNoHeartbeat(t *testing.T) {
 	const questions = 100
-	_, _, few := asking(t, 0, 1, time.Second)
-	_, _, many := asking(t, 0, questions, time.Second)
+	_, _, few := askRepeatedly(t, 0, 1, time.Second)
+	_, _, many := askRepeatedly(t, 0, questions, time.Second)
 	const perQuestion = 4 + 1 // of the stream: begin, question in two, end; and a heartbeat in two each two seconds
 	if each := float64(many-few) / (questions - 1); each > perQuestion {
 		t.Errorf("%.1f writes a question", each)
@@ -117,13 +117,13 @@
 			cancel()
 			time.Sleep(time.Minute)
 		}()
-		server := &peers.Server{Granter: granting{}}
+		server := &peers.Server{Granter: slowGranter{}}
 		var silent *atomic.Bool // of the newest connection
 		g := peers.NewGrants(link.Config{Dial: func(context.Context, string) (net.Conn, error) {
 			near, far := net.Pipe()
 			silent = &atomic.Bool{}
 			go link.ServeConn(ctx, far, link.Config{Handle: server.Handle})
-			return muted{near, silent}, nil
+			return droppingConn{near, silent}, nil
 		}})
 		defer g.Close()
 		ask := func() bool {
@@ -147,14 +147,14 @@
 	})
 }
 
-// muted loses what is written to a connection once it is silent.
-type muted struct {
+// droppingConn loses what is written to a connection once it is silent.
+type droppingConn struct {
 	net.Conn
-	silent *atomic.Bool
+	dropping *atomic.Bool
 }
 
-func (m muted) Write(p []byte) (int, error) {
-	if m.silent.Load() {
+func (m droppingConn) Write(p []byte) (int, error) {
+	if m.dropping.Load() {
 		return len(p), nil
 	}
 	return m.Conn.Write(p)
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -60,15 +60,15 @@
 func (s *Server) call(ctx context.Context, c *wire.StoreCall) *wire.StoreReply {
 	switch k := c.GetKind().(type) {
 	case *wire.StoreCall_Append:
-		end, err := s.Store.Append(ctx, partition(k.Append.GetPartition()), store.FromWire(k.Append.GetRecords()), k.Append.GetAt())
-		return reply(err, &wire.StoreReply{End: end})
+		end, err := s.Store.Append(ctx, fromWirePartition(k.Append.GetPartition()), store.FromWire(k.Append.GetRecords()), k.Append.GetAt())
+		return encodeReply(err, &wire.StoreReply{End: end})
 	case *wire.StoreCall_Read:
 		wait := time.Duration(k.Read.GetWaitMs()) * time.Millisecond
-		page, err := s.Store.Read(ctx, partition(k.Read.GetPartition()), k.Read.GetFrom(), wait)
-		return reply(err, &wire.StoreReply{First: page.First, End: page.End, Records: store.ToWire(page.Records)})
+		page, err := s.Store.Read(ctx, fromWirePartition(k.Read.GetPartition()), k.Read.GetFrom(), wait)
+		return encodeReply(err, &wire.StoreReply{First: page.First, End: page.End, Records: store.ToWire(page.Records)})
 	case *wire.StoreCall_Newest:
-		snap, err := s.Store.Newest(ctx, partition(k.Newest.GetPartition()), k.Newest.GetAfter())
-		return reply(err, &wire.StoreReply{End: snap.End, More: snap.More, Records: store.ToWire(snap.Records)})
+		snap, err := s.Store.Newest(ctx, fromWirePartition(k.Newest.GetPartition()), k.Newest.GetAfter())
+		return encodeReply(err, &wire.StoreReply{End: snap.End, More: snap.More, Records: store.ToWire(snap.Records)})
 	case *wire.StoreCall_Join:
 		m, err := s.Store.Join(ctx, store.JoinRequest{
 			Group: k.Join.GetGroup(), Member: k.Join.GetMember(), Topics: k.Join.GetTopics(),
@@ -78,13 +78,13 @@
 		for _, p := range m.Partitions {
 			out.Partitions = append(out.Partitions, &wire.StorePartition{Topic: p.Topic, Number: uint32(p.Number)})
 		}
-		return reply(err, out)
+		return encodeReply(err, out)
 	}
 	return &wire.StoreReply{Outcome: wire.StoreReply_REFUSED}
 }
 
-// reply encodes an error, or returns ok when there is none.
-func reply(err error, ok *wire.StoreReply) *wire.StoreReply {
+// encodeReply encodes an error, or returns ok when there is none.
+func encodeReply(err error, ok *wire.StoreReply) *wire.StoreReply {
 	var conflict *store.ConflictError
 	var trimmed *store.TrimmedError
 	switch {
@@ -102,8 +102,8 @@
 	return &wire.StoreReply{Outcome: wire.StoreReply_UNKNOWN}
 }
 
-// failure decodes what reply encoded.
-func failure(r *wire.StoreReply) error {
+// decodeError decodes what reply encoded.
+func decodeError(r *wire.StoreReply) error {
 	switch r.GetOutcome() {
 	case wire.StoreReply_OK:
 		return nil
@@ -120,20 +120,20 @@
 	return store.ErrUnavailable
 }
 
-func partition(p *wire.StorePartition) store.Partition {
+func fromWirePartition(p *wire.StorePartition) store.Partition {
 	return store.Partition{Topic: p.GetTopic(), Number: int(p.GetNumber())}
 }
 
-func toPartition(p store.Partition) *wire.StorePartition {
+func toWirePartition(p store.Partition) *wire.StorePartition {
 	return &wire.StorePartition{Topic: p.Topic, Number: uint32(p.Number)}
 }
 
-// Way is the way to the store through one peer. It implements store.Peer.
-type Way struct {
+// PeerStore is the way to the store through one peer. It implements store.Peer.
+type PeerStore struct {
 	peer *link.Peer
 }
 
-func (w Way) call(ctx context.Context, c *wire.StoreCall) (*wire.StoreReply, error) {
+func (w PeerStore) call(ctx context.Context, c *wire.StoreCall) (*wire.StoreReply, error) {
 	if dl, ok := ctx.Deadline(); ok {
 		c.TimeoutMs = uint32(max(time.Until(dl).Milliseconds(), 0))
 	}
@@ -146,42 +146,42 @@
 	case err != nil:
 		return nil, errors.Mark(err, store.ErrUnavailable)
 	}
-	return r, failure(r)
+	return r, decodeError(r)
 }
 
 // Append implements store.Log.
-func (w Way) Append(ctx context.Context, p store.Partition, recs []store.Record, at int64) (int64, error) {
+func (w PeerStore) Append(ctx context.Context, p store.Partition, recs []store.Record, at int64) (int64, error) {
 	r, err := w.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Append{Append: &wire.StoreAppend{
-		Partition: toPartition(p), Records: store.ToWire(recs), At: at,
+		Partition: toWirePartition(p), Records: store.ToWire(recs), At: at,
 	}}})
 	return r.GetEnd(), err
 }
 
 // Read implements store.Log.
-func (w Way) Read(ctx context.Context, p store.Partition, from int64, wait time.Duration) (store.Page, error) {
+func (w PeerStore) Read(ctx context.Context, p store.Partition, from int64, wait time.Duration) (store.Page, error) {
 	r, err := w.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Read{Read: &wire.StoreRead{
-		Partition: toPartition(p), From: from, WaitMs: uint32(wait.Milliseconds()),
+		Partition: toWirePartition(p), From: from, WaitMs: uint32(wait.Milliseconds()),
 	}}})
 	return store.Page{Records: store.FromWire(r.GetRecords()), First: r.GetFirst(), End: r.GetEnd()}, err
 }
 
 // Newest implements store.Log.
-func (w Way) Newest(ctx context.Context, p store.Partition, after string) (store.Snapshot, error) {
+func (w PeerStore) Newest(ctx context.Context, p store.Partition, after string) (store.Snapshot, error) {
 	r, err := w.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Newest{Newest: &wire.StoreNewest{
-		Partition: toPartition(p), After: after,
+		Partition: toWirePartition(p), After: after,
 	}}})
 	return store.Snapshot{Records: store.FromWire(r.GetRecords()), More: r.GetMore(), End: r.GetEnd()}, err
 }
 
 // Join implements store.Joiner.
-func (w Way) Join(ctx context.Context, req store.JoinRequest) (store.Membership, error) {
+func (w PeerStore) Join(ctx context.Context, req store.JoinRequest) (store.Membership, error) {
 	r, err := w.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Join{Join: &wire.StoreJoin{
 		Group: req.Group, Member: req.Member, Topics: req.Topics,
 		TtlMs: uint32(req.TTL.Milliseconds()), Generation: req.Generation,
 	}}})
 	m := store.Membership{Generation: r.GetGeneration()}
 	for _, p := range r.GetPartitions() {
-		m.Partitions = append(m.Partitions, partition(p))
+		m.Partitions = append(m.Partitions, fromWirePartition(p))
 	}
 	return m, err
 }
@@ -193,12 +193,12 @@
 	cfg link.Config
 }
 
-// callerDial bounds connecting, which takes one round trip.
-const callerDial = 250 * time.Millisecond
+// jobDialTimeout bounds connecting, which takes one round trip.
+const jobDialTimeout = 250 * time.Millisecond
 
 // NewCaller returns a Caller.
 func NewCaller(cfg link.Config) *Caller {
-	cfg.DialTimeout = callerDial
+	cfg.DialTimeout = jobDialTimeout
 	return &Caller{cfg: cfg}
 }
 
@@ -223,14 +223,14 @@
 	self string // address of this entry
 	cfg  link.Config
 
-	mu    sync.Mutex
-	links map[string]*link.Peer
-	order []string
+	mu         sync.Mutex
+	connByAddr map[string]*link.Peer
+	order      []string
 }
 
 // NewRing returns a Ring that knows the seeds.
 func NewRing(self string, cfg link.Config, seeds []string) *Ring {
-	r := &Ring{self: self, cfg: cfg, links: make(map[string]*link.Peer)}
+	r := &Ring{self: self, cfg: cfg, connByAddr: make(map[string]*link.Peer)}
 	r.Set(seeds)
 	return r
 }
@@ -251,10 +251,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.order = keep
-	for addr, p := range r.links {
+	for addr, p := range r.connByAddr {
 		if !slices.Contains(keep, addr) {
 			p.Close()
-			delete(r.links, addr)
+			delete(r.connByAddr, addr)
 		}
 	}
 }
@@ -263,22 +263,22 @@
 func (r *Ring) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for addr, p := range r.links {
+	for addr, p := range r.connByAddr {
 		p.Close()
-		delete(r.links, addr)
+		delete(r.connByAddr, addr)
 	}
 }
 
-// all returns the links, dialled when first used.
-func (r *Ring) all() []*link.Peer {
+// connections returns the links, dialled when first used.
+func (r *Ring) connections() []*link.Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []*link.Peer
 	for _, addr := range r.order {
-		if r.links[addr] == nil {
-			r.links[addr] = link.NewPeer(r.cfg, addr)
+		if r.connByAddr[addr] == nil {
+			r.connByAddr[addr] = link.NewPeer(r.cfg, addr)
 		}
-		out = append(out, r.links[addr])
+		out = append(out, r.connByAddr[addr])
 	}
 	return out
 }
@@ -287,8 +287,8 @@
 // time.
 func (r *Ring) Ways() []store.Peer {
 	var out []store.Peer
-	for _, p := range r.all() {
-		out = append(out, Way{peer: p})
+	for _, p := range r.connections() {
+		out = append(out, PeerStore{peer: p})
 	}
 	r.mu.Lock()
 	if len(r.order) > 1 {
@@ -303,7 +303,7 @@
 
 // Fetch asks the peers for the newest catalog and targets until one knows any.
 func (r *Ring) Fetch(ctx context.Context, view *fleet.View) {
-	for _, p := range r.all() {
+	for _, p := range r.connections() {
 		one, cancel := context.WithTimeout(ctx, fetchTimeout)
 		reply := &wire.CatalogReply{}
 		err := p.Call(one, link.Control, &wire.Call{Kind: &wire.Call_Catalog{Catalog: &wire.CatalogFetch{}}}, reply)
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -22,33 +22,33 @@
 	"pumiceford/targets"
 )
 
-type decoder struct{}
+type testDecoder struct{}
 
-func (decoder) CatalogKey() string { return "c" }
+func (testDecoder) CatalogKey() string { return "c" }
 
-func (decoder) Catalog(value []byte) (*catalog.Catalog, error) {
+func (testDecoder) Catalog(value []byte) (*catalog.Catalog, error) {
 	v, err := strconv.ParseInt(string(value), 10, 64)
 	return catalog.New(v, catalog.Limits{}, nil, nil), err
 }
 
-func (decoder) Instance(id string, value []byte) (targets.Instance, error) {
+func (testDecoder) Instance(id string, value []byte) (targets.Instance, error) {
 	return targets.Instance{ID: id, Addr: string(value), Service: "s", Slots: 1}, nil
 }
 
 func newView() *fleet.View {
-	return fleet.NewView(decoder{}, 1, logging.Logger{}, metrics.New("test"))
+	return fleet.NewView(testDecoder{}, 1, logging.Logger{}, metrics.New("test"))
 }
 
-// world is two entries whose way to each other is a pipe, and a store.
-type world struct {
-	store *sharedstore.Store
-	other *fleet.View // of the entry that helps
-	ring  *peers.Ring // of the entry that asks
+// fixture is two entries whose way to each other is a pipe, and a store.
+type fixture struct {
+	store      *sharedstore.Store
+	helperView *fleet.View // of the entry that helps
+	ring       *peers.Ring // of the entry that asks
 }
 
-var part = store.Partition{Topic: "t", Number: 1}
+var testPartition = store.Partition{Topic: "t", Number: 1}
 
-func bubble(t *testing.T, fn func(ctx context.Context, t *testing.T, w *world)) {
+func withPeerPair(t *testing.T, fn func(ctx context.Context, t *testing.T, w *fixture)) {
 	t.Helper()
 	// yamux keeps timers in a pool of the whole process; collecting twice empties
 	// it, so that none reaches from one bubble into another.
@@ -56,8 +56,8 @@
 	runtime.GC()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := &world{store: sharedstore.New(4), other: newView()}
-		server := &peers.Server{Store: w.store.For("b"), View: w.other}
+		w := &fixture{store: sharedstore.New(4), helperView: newView()}
+		server := &peers.Server{Store: w.store.For("b"), View: w.helperView}
 		w.ring = peers.NewRing("a:1", link.Config{Node: "a", Dial: func(_ context.Context, addr string) (net.Conn, error) {
 			if addr != "b:1" {
 				return nil, errors.New("nobody there")
@@ -77,7 +77,7 @@
 
 // Each call and each of its errors comes through a peer as it is.
 func TestCallsThroughAPeer(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T, w *world) {
+	withPeerPair(t, func(ctx context.Context, t *testing.T, w *fixture) {
 		ways := w.ring.Ways()
 		if len(ways) != 1 {
 			t.Fatalf("%d ways", len(ways))
@@ -86,24 +86,24 @@
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
 		recs := []store.Record{{Key: "k", Value: []byte("v")}}
-		if end, err := way.Append(ctx, part, recs, 0); err != nil || end != 1 {
+		if end, err := way.Append(ctx, testPartition, recs, 0); err != nil || end != 1 {
 			t.Fatalf("end %d, %v", end, err)
 		}
 		var conflict *store.ConflictError
-		if _, err := way.Append(ctx, part, recs, 0); !errors.As(err, &conflict) || conflict.End != 1 {
+		if _, err := way.Append(ctx, testPartition, recs, 0); !errors.As(err, &conflict) || conflict.End != 1 {
 			t.Fatalf("wrong end: %v", err)
 		}
-		page, err := way.Read(ctx, part, 0, 0)
+		page, err := way.Read(ctx, testPartition, 0, 0)
 		if err != nil || page.End != 1 || len(page.Records) != 1 || page.Records[0].Key != "k" || string(page.Records[0].Value) != "v" {
 			t.Fatalf("%+v %v", page, err)
 		}
-		snap, err := way.Newest(ctx, part, "")
+		snap, err := way.Newest(ctx, testPartition, "")
 		if err != nil || len(snap.Records) != 1 || snap.End != 1 {
 			t.Fatalf("%+v %v", snap, err)
 		}
-		w.store.Forget(part)
+		w.store.Forget(testPartition)
 		var trimmed *store.TrimmedError
-		if _, err := way.Read(ctx, part, 0, 0); !errors.As(err, &trimmed) || trimmed.First != 1 {
+		if _, err := way.Read(ctx, testPartition, 0, 0); !errors.As(err, &trimmed) || trimmed.First != 1 {
 			t.Fatalf("forgotten: %v", err)
 		}
 		m, err := way.Join(ctx, store.JoinRequest{Group: "g", Member: "a:1", Topics: []string{"t"}, TTL: time.Minute})
@@ -111,13 +111,13 @@
 			t.Fatalf("%+v %v", m, err)
 		}
 		w.store.SetFault("b", sharedstore.Refuse)
-		if _, err := way.Append(ctx, part, recs, 0); !errors.Is(err, store.ErrRefused) {
+		if _, err := way.Append(ctx, testPartition, recs, 0); !errors.Is(err, store.ErrRefused) {
 			t.Fatalf("refused there as well: %v", err)
 		}
 		w.store.SetFault("b", sharedstore.LoseAnswer)
 		short, stop := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer stop()
-		if _, err := way.Append(short, part, recs, 1); !errors.Is(err, store.ErrUnavailable) {
+		if _, err := way.Append(short, testPartition, recs, 1); !errors.Is(err, store.ErrUnavailable) {
 			t.Fatalf("no answer there: %v", err)
 		}
 	})
@@ -126,9 +126,9 @@
 // Symptom: "may have been carried out" for a call that never left the host.
 // Cause: a peer that cannot be reached was taken for one that gave no answer.
 func TestAPeerThatCannotBeReachedHasDoneNothing(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T, w *world) {
+	withPeerPair(t, func(ctx context.Context, t *testing.T, w *fixture) {
 		w.ring.Set([]string{"gone:1"})
-		_, err := w.ring.Ways()[0].Append(ctx, part, nil, 0)
+		_, err := w.ring.Ways()[0].Append(ctx, testPartition, nil, 0)
 		if !errors.Is(err, store.ErrRefused) || errors.Is(err, store.ErrUnavailable) {
 			t.Fatalf("%v", err)
 		}
@@ -137,14 +137,14 @@
 
 // An entry that knows nothing learns catalog and targets from a peer.
 func TestFetchFromAPeer(t *testing.T) {
-	bubble(t, func(ctx context.Context, t *testing.T, w *world) {
+	withPeerPair(t, func(ctx context.Context, t *testing.T, w *fixture) {
 		mine := newView()
 		w.ring.Fetch(ctx, mine)
 		if mine.Ready() {
 			t.Fatal("ready with nothing told")
 		}
-		w.other.CatalogSink().Reset([]store.Record{{Key: "c", Value: []byte("7")}})
-		w.other.TargetSink().Reset([]store.Record{{Key: "i", Value: []byte("1:1")}})
+		w.helperView.CatalogSink().Reset([]store.Record{{Key: "c", Value: []byte("7")}})
+		w.helperView.TargetSink().Reset([]store.Record{{Key: "i", Value: []byte("1:1")}})
 		w.ring.Fetch(ctx, mine)
 		if !mine.Ready() || mine.Catalog().Version != 7 || len(mine.Instances()) != 1 {
 			t.Fatalf("ready %v, targets %v", mine.Ready(), mine.Instances())
--- a/store/failover.go
+++ b/store/failover.go
@@ -12,15 +12,15 @@
 const (
 	// callTimeout bounds a call that waits for nothing.
 	callTimeout = 800 * time.Millisecond
-	// bulkTimeout bounds an answer beyond the time after which another way is
+	// slowAnswerTimeout bounds an answer beyond the time after which another way is
 	// tried as well.
-	bulkTimeout = 4 * time.Second
-	// avoidFor is how long a way that failed is tried last: long enough that a
+	slowAnswerTimeout = 4 * time.Second
+	// avoidInterval is how long a way that failed is tried last: long enough that a
 	// silent store does not hold up each call, short enough to return to the
 	// direct way soon.
-	avoidFor = time.Second
-	// peersTried bounds the peers asked for one call.
-	peersTried = 2
+	avoidInterval = time.Second
+	// maxPeersPerCall bounds the peers asked for one call.
+	maxPeersPerCall = 2
 )
 
 // Joiner is the part of Groups that peers carry out for each other.
@@ -42,13 +42,13 @@
 	direct Client
 	peers  func() []Peer // ways to try, best first
 
-	mu          sync.Mutex
-	avoidDirect time.Time
-	avoidPeers  time.Time
-	// unproved says that the direct way has failed and not answered since, peersUnproved
+	mu               sync.Mutex
+	avoidDirectUntil time.Time
+	avoidPeersUntil  time.Time
+	// unproved says that the direct way has failed and not answered since, peersFailed
 	// the same of the ways through peers.
-	unproved      bool
-	peersUnproved bool
+	directFailed bool
+	peersFailed  bool
 }
 
 // NewFailover returns a Failover.
@@ -60,18 +60,18 @@
 // caller reads what became of it first.
 func (f *Failover) Append(ctx context.Context, p Partition, recs []Record, at int64) (int64, error) {
 	var last error
-	for _, way := range f.ways(true) {
+	for _, way := range f.backends(true) {
 		one, cancel := context.WithTimeout(ctx, callTimeout)
 		end, err := way.Append(one, p, recs, at)
 		cancel()
-		if err == nil || !passing(err) {
-			f.note(way, nil)
+		if err == nil || !canFailOver(err) {
+			f.recordResult(way, nil)
 			return end, err
 		}
 		if ctx.Err() != nil {
 			return 0, err
 		}
-		f.note(way, err)
+		f.recordResult(way, err)
 		last = err
 		if errors.Is(err, ErrUnavailable) {
 			break
@@ -117,7 +117,7 @@
 
 // firstAnswer makes a call that changes nothing, or the same again, by the ways in
 // turn: the next one when a way fails, or has not answered after quiet. A way that
-// is only slow goes on meanwhile, for bulkTimeout: a large answer over a narrow link
+// is only slow goes on meanwhile, for slowAnswerTimeout: a large answer over a narrow link
 // would otherwise be asked for again and again.
 func firstAnswer[T any](ctx context.Context, f *Failover, quiet time.Duration, do func(context.Context, Peer) (T, error)) (T, error) {
 	type answer struct {
@@ -128,7 +128,7 @@
 	var none T
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ways := f.ways(false)
+	ways := f.backends(false)
 	answers := make(chan answer, len(ways))
 	timer := time.NewTimer(quiet)
 	defer timer.Stop()
@@ -142,7 +142,7 @@
 		running++
 		timer.Reset(quiet)
 		go func() {
-			one, cancel := context.WithTimeout(ctx, quiet+bulkTimeout)
+			one, cancel := context.WithTimeout(ctx, quiet+slowAnswerTimeout)
 			defer cancel()
 			got, err := do(one, way)
 			answers <- answer{way, got, err}
@@ -154,18 +154,18 @@
 		select {
 		case a := <-answers:
 			running--
-			if a.err == nil || !passing(a.err) {
-				f.note(a.way, nil)
+			if a.err == nil || !canFailOver(a.err) {
+				f.recordResult(a.way, nil)
 				return a.got, a.err
 			}
 			if ctx.Err() != nil {
 				return none, a.err
 			}
-			f.note(a.way, a.err)
+			f.recordResult(a.way, a.err)
 			last = a.err
 			begin()
 		case <-timer.C:
-			f.note(ways[begun-1], ErrUnavailable)
+			f.recordResult(ways[begun-1], ErrUnavailable)
 			begin()
 		case <-ctx.Done():
 			return none, errors.Mark(ctx.Err(), ErrUnavailable)
@@ -178,7 +178,7 @@
 func (f *Failover) Reaches() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.unproved
+	return !f.directFailed
 }
 
 // Away reports whether no way works, as far as the last calls tell.
@@ -186,26 +186,26 @@
 	noPeers := len(f.peers()) == 0
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.unproved && (f.peersUnproved || noPeers)
+	return f.directFailed && (f.peersFailed || noPeers)
 }
 
-// passing reports whether another way may serve a call that failed so.
-func passing(err error) bool {
+// canFailOver reports whether another way may serve a call that failed so.
+func canFailOver(err error) bool {
 	return errors.Is(err, ErrUnavailable) || errors.Is(err, ErrRefused)
 }
 
-// ways returns the ways to try, in order. A direct way that has failed is tried again
-// after avoidFor, but not by an append: an append that is not answered cannot be
+// backends returns the ways to try, in order. A direct way that has failed is tried again
+// after avoidInterval, but not by an append: an append that is not answered cannot be
 // repeated elsewhere, and a caller waits for it. A read that succeeds clears it.
-func (f *Failover) ways(appends bool) []Peer {
+func (f *Failover) backends(appends bool) []Peer {
 	f.mu.Lock()
 	now := time.Now()
-	directLast, noPeers := now.Before(f.avoidDirect) || appends && f.unproved, now.Before(f.avoidPeers)
+	directLast, noPeers := now.Before(f.avoidDirectUntil) || appends && f.directFailed, now.Before(f.avoidPeersUntil)
 	f.mu.Unlock()
 	var peers []Peer
 	if !noPeers {
 		peers = f.peers()
-		peers = peers[:min(len(peers), peersTried)]
+		peers = peers[:min(len(peers), maxPeersPerCall)]
 	}
 	if directLast {
 		return append(peers, f.direct)
@@ -213,16 +213,16 @@
 	return append([]Peer{f.direct}, peers...)
 }
 
-func (f *Failover) note(way Peer, err error) {
+func (f *Failover) recordResult(way Peer, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	until := time.Time{}
 	if err != nil {
-		until = time.Now().Add(avoidFor)
+		until = time.Now().Add(avoidInterval)
 	}
 	if way == Peer(f.direct) {
-		f.avoidDirect, f.unproved = until, err != nil
+		f.avoidDirectUntil, f.directFailed = until, err != nil
 		return
 	}
-	f.avoidPeers, f.peersUnproved = until, err != nil
+	f.avoidPeersUntil, f.peersFailed = until, err != nil
 }
--- a/store/failover_test.go
+++ b/store/failover_test.go
@@ -12,7 +12,7 @@
 	"pumiceford/store"
 )
 
-func failover(s *sharedstore.Store) *store.Failover {
+func newFailover(s *sharedstore.Store) *store.Failover {
 	return store.NewFailover(s.For("a"), func() []store.Peer { return []store.Peer{s.For("b"), s.For("c")} })
 }
 
@@ -22,14 +22,14 @@
 	for _, fault := range []sharedstore.Fault{sharedstore.Refuse, sharedstore.Silent} {
 		synctest.Test(t, func(t *testing.T) {
 			s := sharedstore.New(1)
-			s.Put(part, "k", []byte("v"))
+			s.Put(testPartition, "k", []byte("v"))
 			s.SetFault("a", fault)
-			f := failover(s)
-			page, err := f.Read(t.Context(), part, 0, 0)
+			f := newFailover(s)
+			page, err := f.Read(t.Context(), testPartition, 0, 0)
 			if err != nil || len(page.Records) != 1 {
 				t.Fatalf("read through a peer: %v %v", page, err)
 			}
-			if _, err := f.Append(t.Context(), part, []store.Record{{Key: "l", Value: []byte("w")}}, 1); err != nil {
+			if _, err := f.Append(t.Context(), testPartition, []store.Record{{Key: "l", Value: []byte("w")}}, 1); err != nil {
 				t.Fatalf("append through a peer: %v", err)
 			}
 			if m, err := f.Join(t.Context(), store.JoinRequest{Group: "g", Member: "a", Topics: []string{"t"}, TTL: time.Second}); err != nil || len(m.Partitions) != 1 {
@@ -44,11 +44,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
 		s.SetFault("a", sharedstore.LoseAnswer)
-		_, err := failover(s).Append(t.Context(), part, []store.Record{{Key: "k", Value: []byte("v")}}, store.AnyEnd)
+		_, err := newFailover(s).Append(t.Context(), testPartition, []store.Record{{Key: "k", Value: []byte("v")}}, store.AnyEnd)
 		if !errors.Is(err, store.ErrUnavailable) {
 			t.Fatalf("got %v, want no answer", err)
 		}
-		if n := len(s.Records(part)); n != 1 {
+		if n := len(s.Records(testPartition)); n != 1 {
 			t.Fatalf("%d records", n)
 		}
 	})
@@ -62,10 +62,10 @@
 		for _, h := range []string{"a", "b", "c"} {
 			s.SetFault(h, sharedstore.Refuse)
 		}
-		f := failover(s)
+		f := newFailover(s)
 		const calls = 50
 		for range calls {
-			_, err := f.Read(t.Context(), part, 0, 0)
+			_, err := f.Read(t.Context(), testPartition, 0, 0)
 			if !errors.Is(err, store.ErrRefused) {
 				t.Fatalf("got %v", err)
 			}
@@ -82,10 +82,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
 		s.SetFault("a", sharedstore.Silent)
-		f := failover(s)
+		f := newFailover(s)
 		began := time.Now()
 		for range 10 {
-			if _, err := f.Newest(context.WithoutCancel(t.Context()), part, ""); err != nil {
+			if _, err := f.Newest(context.WithoutCancel(t.Context()), testPartition, ""); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -100,26 +100,26 @@
 func TestAnAppendDoesNotTryASilentWayAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
-		f := failover(s)
+		f := newFailover(s)
 		ctx := context.WithoutCancel(t.Context())
 		s.SetFault("a", sharedstore.Silent)
-		if _, err := f.Newest(ctx, part, ""); err != nil {
+		if _, err := f.Newest(ctx, testPartition, ""); err != nil {
 			t.Fatal(err)
 		}
 		for n := range 5 {
 			time.Sleep(1500 * time.Millisecond)
 			began := time.Now()
-			if _, err := f.Append(ctx, part, []store.Record{{Key: "k", Value: []byte("v")}}, store.AnyEnd); err != nil || time.Since(began) > 0 {
+			if _, err := f.Append(ctx, testPartition, []store.Record{{Key: "k", Value: []byte("v")}}, store.AnyEnd); err != nil || time.Since(began) > 0 {
 				t.Errorf("append %d: %v after %s", n, err, time.Since(began))
 			}
 		}
 		s.SetFault("a", sharedstore.None)
 		time.Sleep(1500 * time.Millisecond)
-		if _, err := f.Newest(ctx, part, ""); err != nil {
+		if _, err := f.Newest(ctx, testPartition, ""); err != nil {
 			t.Fatal(err)
 		}
 		s.SetFault("b", sharedstore.Silent) // the peer: the direct way is the first again
-		if _, err := f.Append(ctx, part, []store.Record{{Key: "k", Value: []byte("v")}}, store.AnyEnd); err != nil {
+		if _, err := f.Append(ctx, testPartition, []store.Record{{Key: "k", Value: []byte("v")}}, store.AnyEnd); err != nil {
 			t.Errorf("after the return: %v", err)
 		}
 	})
--- a/store/follower.go
+++ b/store/follower.go
@@ -46,8 +46,8 @@
 	return make(Loads, n)
 }
 
-// enter waits for a turn. The caller calls leave when it has read its partition.
-func (l Loads) enter(ctx context.Context) (leave func(), err error) {
+// acquire waits for a turn. The caller calls leave when it has read its partition.
+func (l Loads) acquire(ctx context.Context) (leave func(), err error) {
 	if l == nil {
 		return func() {}, nil
 	}
@@ -61,35 +61,35 @@
 
 // Bounds of following.
 const (
-	// readSlack is added to a read's wait before it counts as lost.
-	readSlack = 700 * time.Millisecond
-	// retryFirst and retryMost bound the pause after failed reads.
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
-	// loadTurn is how long a load that another caller has begun is waited for. It may
+	// readTimeoutMargin is added to a read's wait before it counts as lost.
+	readTimeoutMargin = 700 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the pause after failed reads.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
+	// sharedLoadWait is how long a load that another caller has begun is waited for. It may
 	// hang on a connection that has gone silent.
-	loadTurn = 500 * time.Millisecond
+	sharedLoadWait = 500 * time.Millisecond
 	// checkTimeout bounds one look at the end of a partition.
 	checkTimeout = time.Second
 )
 
 // Follower keeps a Sink up to date with one partition.
 type Follower struct {
-	log  Log
-	part Partition
-	set  FollowSettings
+	log       Log
+	partition Partition
+	cfg       FollowSettings
 
-	mu      sync.Mutex
-	sink    Sink
-	loaded  bool
-	loads   int           // how often the whole partition was read
-	loading chan struct{} // one load of this partition at a time
-	next    int64         // offset of the next record to apply
-	asOf    time.Time     // the state is known to be complete up to this moment
+	mu         sync.Mutex
+	sink       Sink
+	loaded     bool
+	loadsDone  int           // how often the whole partition was read
+	loadSem    chan struct{} // one load of this partition at a time
+	nextOffset int64         // offset of the next record to apply
+	asOf       time.Time     // the state is known to be complete up to this moment
 	// confirmed is when the last read that reached the end was begun, by set.Clock.
-	confirmed    time.Duration
-	wasConfirmed bool
-	checker      chan struct{}
+	confirmedAt  time.Duration
+	hasConfirmed bool
+	checkSem     chan struct{}
 	changed      chan struct{} // closed and replaced at each change
 }
 
@@ -105,62 +105,62 @@
 		set.OnContact = func(time.Duration) {}
 	}
 	return &Follower{
-		log: log, part: part, sink: sink, set: set,
-		checker: make(chan struct{}, 1),
-		loading: make(chan struct{}, 1),
-		changed: make(chan struct{}),
+		log: log, partition: part, sink: sink, cfg: set,
+		checkSem: make(chan struct{}, 1),
+		loadSem:  make(chan struct{}, 1),
+		changed:  make(chan struct{}),
 	}
 }
 
 // Run follows the partition until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	pause := retryFirst
+	pause := minRetryDelay
 	var since time.Time
 	for ctx.Err() == nil {
-		got, err := f.step(ctx)
+		got, err := f.readOnce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
 			if since.IsZero() {
 				since = time.Now()
-				f.set.OnTrouble(err)
+				f.cfg.OnTrouble(err)
 			}
 			_ = wait.For(ctx, pause)
-			pause = min(2*pause, retryMost)
+			pause = min(2*pause, maxRetryDelay)
 			continue
 		}
 		if !since.IsZero() {
-			f.set.OnContact(time.Since(since))
+			f.cfg.OnContact(time.Since(since))
 			since = time.Time{}
 		}
-		pause = retryFirst
+		pause = minRetryDelay
 		if got {
-			_ = wait.For(ctx, f.set.Pause)
+			_ = wait.For(ctx, f.cfg.Pause)
 		}
 	}
 }
 
-// step makes one read. It reports whether records came.
-func (f *Follower) step(ctx context.Context) (bool, error) {
+// readOnce makes one read. It reports whether records came.
+func (f *Follower) readOnce(ctx context.Context) (bool, error) {
 	f.mu.Lock()
-	loaded, from := f.loaded, f.next
+	loaded, from := f.loaded, f.nextOffset
 	f.mu.Unlock()
 	if !loaded {
 		return true, f.load(ctx)
 	}
-	return f.read(ctx, from, f.set.Wait)
+	return f.read(ctx, from, f.cfg.Wait)
 }
 
 // load reads the whole partition. Callers at the same time share one load: two
 // of them would take twice the link for the same records.
 func (f *Follower) load(ctx context.Context) error {
 	before := f.loadCount()
-	timer := time.NewTimer(loadTurn)
+	timer := time.NewTimer(sharedLoadWait)
 	defer timer.Stop()
 	select {
-	case f.loading <- struct{}{}:
-		defer func() { <-f.loading }()
+	case f.loadSem <- struct{}{}:
+		defer func() { <-f.loadSem }()
 	case <-timer.C:
 	case <-ctx.Done():
 		return errors.Mark(ctx.Err(), ErrUnavailable)
@@ -168,7 +168,7 @@
 	if f.loadCount() != before {
 		return nil
 	}
-	leave, err := f.set.Loads.enter(ctx)
+	leave, err := f.cfg.Loads.acquire(ctx)
 	if err != nil {
 		return err
 	}
@@ -179,36 +179,36 @@
 func (f *Follower) loadCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.loads
+	return f.loadsDone
 }
 
 func (f *Follower) loadNow(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, f.set.Wait+readSlack)
+	ctx, cancel := context.WithTimeout(ctx, f.cfg.Wait+readTimeoutMargin)
 	defer cancel()
-	began, clock := time.Now(), f.set.Clock()
-	snap, err := NewestAll(ctx, f.log, f.part)
+	began, clock := time.Now(), f.cfg.Clock()
+	snap, err := NewestAll(ctx, f.log, f.partition)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.loads++
-	if f.loaded && snap.End < f.next {
+	f.loadsDone++
+	if f.loaded && snap.End < f.nextOffset {
 		return nil // it went on by reads meanwhile
 	}
 	f.sink.Reset(snap.Records)
-	f.loaded, f.next = true, snap.End
-	f.freshLocked(began)
+	f.loaded, f.nextOffset = true, snap.End
+	f.advanceAsOfLocked(began)
 	f.confirmLocked(clock)
-	f.wakeLocked()
+	f.notifyLocked()
 	return nil
 }
 
 func (f *Follower) read(ctx context.Context, from int64, wait time.Duration) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+readSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeoutMargin)
 	defer cancel()
-	began, clock := time.Now(), f.set.Clock()
-	page, err := f.log.Read(ctx, f.part, from, wait)
+	began, clock := time.Now(), f.cfg.Clock()
+	page, err := f.log.Read(ctx, f.partition, from, wait)
 	var trimmed *TrimmedError
 	if errors.As(err, &trimmed) {
 		return false, f.load(ctx)
@@ -221,11 +221,11 @@
 	f.applyLocked(page.Records)
 	switch {
 	case len(page.Records) == 0:
-		f.freshLocked(began.Add(wait)) // the store waited that long in vain
-	case f.next >= page.End:
-		f.freshLocked(began)
+		f.advanceAsOfLocked(began.Add(wait)) // the store waited that long in vain
+	case f.nextOffset >= page.End:
+		f.advanceAsOfLocked(began)
 	}
-	if f.next >= page.End {
+	if f.nextOffset >= page.End {
 		f.confirmLocked(clock)
 	}
 	return len(page.Records) > 0, nil
@@ -235,26 +235,26 @@
 func (f *Follower) applyLocked(recs []Record) {
 	var fresh []Record
 	for _, r := range recs {
-		if r.Offset != f.next {
+		if r.Offset != f.nextOffset {
 			continue // applied by a read that ran beside this one
 		}
 		fresh = append(fresh, r)
-		f.next = r.Offset + 1
+		f.nextOffset = r.Offset + 1
 	}
 	if len(fresh) > 0 {
 		f.sink.Apply(fresh...)
-		f.wakeLocked()
+		f.notifyLocked()
 	}
 }
 
-func (f *Follower) freshLocked(at time.Time) {
+func (f *Follower) advanceAsOfLocked(at time.Time) {
 	if at.After(f.asOf) {
 		f.asOf = at
 	}
 }
 
 func (f *Follower) confirmLocked(at time.Duration) {
-	f.confirmed, f.wasConfirmed = max(f.confirmed, at), true
+	f.confirmedAt, f.hasConfirmed = max(f.confirmedAt, at), true
 }
 
 // Confirmed returns a moment, by the clock of the settings, at which the state held all
@@ -263,10 +263,10 @@
 func (f *Follower) Confirmed() (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.confirmed, f.wasConfirmed
+	return f.confirmedAt, f.hasConfirmed
 }
 
-func (f *Follower) wakeLocked() {
+func (f *Follower) notifyLocked() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
@@ -275,17 +275,17 @@
 // end when it may be older. Callers at the same time share one read.
 func (f *Follower) Catch(ctx context.Context, maxAge time.Duration) error {
 	oldest := time.Now().Add(-maxAge)
-	return f.checkUnless(ctx, func() bool { return !f.AsOf().Before(oldest) })
+	return f.readToEndUnless(ctx, func() bool { return !f.AsOf().Before(oldest) })
 }
 
 // Confirm makes sure that Confirmed is at most maxAge ago, as Catch does for the state.
 func (f *Follower) Confirm(ctx context.Context, maxAge time.Duration) error {
-	oldest := f.set.Clock() - maxAge
+	oldest := f.cfg.Clock() - maxAge
 	confirmed := func() bool {
 		at, ok := f.Confirmed()
 		return ok && at >= oldest
 	}
-	if err := f.checkUnless(ctx, confirmed); err != nil {
+	if err := f.readToEndUnless(ctx, confirmed); err != nil {
 		return err
 	}
 	if !confirmed() {
@@ -298,30 +298,30 @@
 // that was shared with an earlier caller.
 var errUnconfirmed = errors.New("partition's end was not read")
 
-// checkUnless reads the partition's end unless enough reports that this is not needed.
-func (f *Follower) checkUnless(ctx context.Context, enough func() bool) error {
+// readToEndUnless reads the partition's end unless enough reports that this is not needed.
+func (f *Follower) readToEndUnless(ctx context.Context, enough func() bool) error {
 	if enough() {
 		return nil
 	}
 	select {
-	case f.checker <- struct{}{}:
+	case f.checkSem <- struct{}{}:
 	case <-ctx.Done():
 		return errors.Mark(ctx.Err(), ErrUnavailable)
 	}
-	defer func() { <-f.checker }()
+	defer func() { <-f.checkSem }()
 	// The read that was waited for may have served this caller as well.
 	if enough() {
 		return nil
 	}
-	return f.check(ctx)
+	return f.readToEnd(ctx)
 }
 
-func (f *Follower) check(ctx context.Context) error {
+func (f *Follower) readToEnd(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	for {
 		f.mu.Lock()
-		loaded, from := f.loaded, f.next
+		loaded, from := f.loaded, f.nextOffset
 		f.mu.Unlock()
 		if !loaded {
 			if err := f.load(ctx); err != nil {
@@ -345,7 +345,7 @@
 	if !f.loaded {
 		return false
 	}
-	fn(f.next, f.changed)
+	fn(f.nextOffset, f.changed)
 	return true
 }
 
--- a/store/follower_test.go
+++ b/store/follower_test.go
@@ -15,32 +15,32 @@
 	"pumiceford/store"
 )
 
-var part = store.Partition{Topic: "t"}
+var testPartition = store.Partition{Topic: "t"}
 
 // mirror is a sink that keeps the newest value of each key.
 type mirror struct {
-	values map[string]string
-	last   int64 // offset of the last record applied
-	again  bool  // one came twice or out of order
+	values     map[string]string
+	last       int64 // offset of the last record applied
+	misordered bool  // one came twice or out of order
 }
 
 func (m *mirror) Reset(recs []store.Record) {
 	m.values = make(map[string]string)
 	m.last = -1
 	for _, r := range recs {
-		m.take(r)
+		m.set(r)
 	}
 }
 
 func (m *mirror) Apply(recs ...store.Record) {
 	for _, r := range recs {
-		m.again = m.again || r.Offset <= m.last
+		m.misordered = m.misordered || r.Offset <= m.last
 		m.last = r.Offset
-		m.take(r)
+		m.set(r)
 	}
 }
 
-func (m *mirror) take(r store.Record) {
+func (m *mirror) set(r store.Record) {
 	if len(r.Value) == 0 {
 		delete(m.values, r.Key)
 		return
@@ -48,8 +48,8 @@
 	m.values[r.Key] = string(r.Value)
 }
 
-func follow(ctx context.Context, log store.Log, m *mirror) *store.Follower {
-	f := store.NewFollower(log, part, m, store.FollowSettings{Wait: 2 * time.Second})
+func startFollower(ctx context.Context, log store.Log, m *mirror) *store.Follower {
+	f := store.NewFollower(log, testPartition, m, store.FollowSettings{Wait: 2 * time.Second})
 	go f.Run(ctx)
 	return f
 }
@@ -60,7 +60,7 @@
 }
 
 func state(f *store.Follower, m *mirror) (values map[string]string, again bool) {
-	f.Look(func(int64, <-chan struct{}) { values, again = maps.Clone(m.values), m.again })
+	f.Look(func(int64, <-chan struct{}) { values, again = maps.Clone(m.values), m.misordered })
 	return values, again
 }
 
@@ -68,11 +68,11 @@
 func TestFollowerEqualsStore(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		// All is drawn before the bubble: rapid ends a draw by a panic.
-		moves := rapid.SliceOfN(rapid.Custom(drawMove), 1, 40).Draw(rt, "moves")
+		moves := rapid.SliceOfN(rapid.Custom(drawStep), 1, 40).Draw(rt, "moves")
 		var failure string
 		synctest.Test(t, func(*testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
-			failure = play(ctx, moves)
+			failure = runSteps(ctx, moves)
 			cancel()
 			synctest.Wait()
 		})
@@ -82,14 +82,14 @@
 	})
 }
 
-// move is one step of a drawn story.
-type move struct {
+// step is one step of a drawn story.
+type step struct {
 	Kind, Key, Ms int
 	Drop          bool
 }
 
-func drawMove(t *rapid.T) move {
-	return move{
+func drawStep(t *rapid.T) step {
+	return step{
 		Kind: rapid.IntRange(0, 8).Draw(t, "kind"),
 		Key:  rapid.IntRange(0, 3).Draw(t, "key"),
 		Ms:   rapid.IntRange(1, 4000).Draw(t, "ms"),
@@ -97,15 +97,15 @@
 	}
 }
 
-func play(ctx context.Context, moves []move) string {
+func runSteps(ctx context.Context, moves []step) string {
 	s := sharedstore.New(1)
 	m := &mirror{}
-	f := follow(ctx, s.For("a"), m)
+	f := startFollower(ctx, s.For("a"), m)
 	want := make(map[string]string)
 	for i, mv := range moves {
 		switch mv.Kind {
 		case 0:
-			s.Forget(part)
+			s.Forget(testPartition)
 		case 1:
 			s.SetFault("a", sharedstore.Refuse)
 		case 2:
@@ -124,7 +124,7 @@
 			} else {
 				want[key] = value
 			}
-			s.Put(part, key, []byte(value))
+			s.Put(testPartition, key, []byte(value))
 		}
 	}
 	s.SetFault("a", sharedstore.None)
@@ -147,12 +147,12 @@
 		defer cancel()
 		s := sharedstore.New(1)
 		m := &mirror{}
-		f := store.NewFollower(s.For("a"), part, m, store.FollowSettings{Wait: time.Hour})
+		f := store.NewFollower(s.For("a"), testPartition, m, store.FollowSettings{Wait: time.Hour})
 		go f.Run(ctx)
 		time.Sleep(10 * time.Millisecond)
 		s.SetFault("a", sharedstore.Silent) // the waiting read is answered no more
 		synctest.Wait()
-		s.Put(part, "k", []byte("v"))
+		s.Put(testPartition, "k", []byte("v"))
 		s.SetFault("a", sharedstore.None)
 		time.Sleep(10 * time.Second)
 		if err := f.Catch(ctx, 300*time.Millisecond); err != nil {
@@ -170,7 +170,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		s := sharedstore.New(1)
-		f := follow(ctx, s.For("a"), &mirror{})
+		f := startFollower(ctx, s.For("a"), &mirror{})
 		time.Sleep(10 * time.Millisecond)
 		s.SetFault("a", sharedstore.Refuse)
 		time.Sleep(3 * time.Second)
--- a/store/narrow_test.go
+++ b/store/narrow_test.go
@@ -13,48 +13,48 @@
 	"pumiceford/store"
 )
 
-// narrow is a way to the store over a link that all calls share: each page of
+// narrowLink is a way to the store over a link that all calls share: each page of
 // newest records takes alone as long as a megabyte over 30 Mbit/s.
-type narrow struct {
+type narrowLink struct {
 	store.Client
 
-	mu      sync.Mutex
-	sharing int
-	pages   int // that came in whole
+	mu        sync.Mutex
+	inFlight  int
+	pagesRead int // that came in whole
 }
 
 const (
-	pageAlone = 350 * time.Millisecond
-	tick      = 10 * time.Millisecond
+	unsharedPageTime = 350 * time.Millisecond
+	linkStep         = 10 * time.Millisecond
 )
 
-func (n *narrow) share(by int) int {
+func (n *narrowLink) addInFlight(by int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.sharing += by
-	return n.sharing
+	n.inFlight += by
+	return n.inFlight
 }
 
-// read returns how many pages came in whole.
-func (n *narrow) read() int {
+// readPages returns how many pages came in whole.
+func (n *narrowLink) readPages() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.pages
+	return n.pagesRead
 }
 
 // Newest takes its share of the link until the page is there.
-func (n *narrow) Newest(ctx context.Context, p store.Partition, after string) (store.Snapshot, error) {
-	n.share(1)
-	defer n.share(-1)
-	for left := float64(pageAlone); left > 0; left -= float64(tick) / float64(n.share(0)) {
+func (n *narrowLink) Newest(ctx context.Context, p store.Partition, after string) (store.Snapshot, error) {
+	n.addInFlight(1)
+	defer n.addInFlight(-1)
+	for left := float64(unsharedPageTime); left > 0; left -= float64(linkStep) / float64(n.addInFlight(0)) {
 		select {
-		case <-time.After(tick):
+		case <-time.After(linkStep):
 		case <-ctx.Done():
 			return store.Snapshot{}, errors.Mark(ctx.Err(), store.ErrUnavailable)
 		}
 	}
 	n.mu.Lock()
-	n.pages++
+	n.pagesRead++
 	n.mu.Unlock()
 	return n.Client.Newest(ctx, p, after)
 }
@@ -65,7 +65,7 @@
 	const partitions = 40
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		link := &narrow{Client: sharedstore.New(partitions).For("a")}
+		link := &narrowLink{Client: sharedstore.New(partitions).For("a")}
 		way := store.NewFailover(link, func() []store.Peer { return []store.Peer{link, link} })
 		loads := store.NewLoads(2)
 		var all []*store.Follower
@@ -74,13 +74,13 @@
 			go f.Run(ctx)
 			all = append(all, f)
 		}
-		time.Sleep(partitions * 2 * pageAlone)
+		time.Sleep(partitions * 2 * unsharedPageTime)
 		for n, f := range all {
 			if !f.Look(func(int64, <-chan struct{}) {}) {
 				t.Errorf("partition %d is not read yet", n)
 			}
 		}
-		if pages := link.read(); pages > partitions+partitions/2 {
+		if pages := link.readPages(); pages > partitions+partitions/2 {
 			t.Errorf("%d pages were read for %d partitions", pages, partitions)
 		}
 		cancel()
@@ -92,14 +92,14 @@
 func TestALoadIsShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		link := &narrow{Client: sharedstore.New(1).For("a")}
-		f := store.NewFollower(link, part, &mirror{}, store.FollowSettings{Wait: time.Second})
+		link := &narrowLink{Client: sharedstore.New(1).For("a")}
+		f := store.NewFollower(link, testPartition, &mirror{}, store.FollowSettings{Wait: time.Second})
 		go f.Run(ctx)
 		for range 5 {
 			go func() { _ = f.Catch(ctx, 0) }() // whether it came in time is not asked here
 		}
 		time.Sleep(3 * time.Second)
-		if pages := link.read(); pages != 1 {
+		if pages := link.readPages(); pages != 1 {
 			t.Errorf("%d pages were read", pages)
 		}
 		cancel()
--- a/store/observed.go
+++ b/store/observed.go
@@ -10,13 +10,13 @@
 // Observed is a Client that tells of each call: its name, its outcome and how
 // long it took.
 type Observed struct {
-	client Client
-	told   func(call, outcome string, took time.Duration)
+	client  Client
+	observe func(call, outcome string, took time.Duration)
 }
 
 // NewObserved returns an Observed.
 func NewObserved(client Client, told func(call, outcome string, took time.Duration)) *Observed {
-	return &Observed{client: client, told: told}
+	return &Observed{client: client, observe: told}
 }
 
 // outcome names an error for counters.
@@ -38,15 +38,15 @@
 	return "no_answer"
 }
 
-func (o *Observed) done(call string, began time.Time, err error) {
-	o.told(call, outcome(err), time.Since(began))
+func (o *Observed) record(call string, began time.Time, err error) {
+	o.observe(call, outcome(err), time.Since(began))
 }
 
 // Append implements Log.
 func (o *Observed) Append(ctx context.Context, p Partition, recs []Record, at int64) (int64, error) {
 	began := time.Now()
 	end, err := o.client.Append(ctx, p, recs, at)
-	o.done("append", began, err)
+	o.record("append", began, err)
 	return end, err
 }
 
@@ -54,7 +54,7 @@
 func (o *Observed) Read(ctx context.Context, p Partition, from int64, wait time.Duration) (Page, error) {
 	began := time.Now()
 	page, err := o.client.Read(ctx, p, from, wait)
-	o.done("read", began, err)
+	o.record("read", began, err)
 	return page, err
 }
 
@@ -62,7 +62,7 @@
 func (o *Observed) Newest(ctx context.Context, p Partition, after string) (Snapshot, error) {
 	began := time.Now()
 	snap, err := o.client.Newest(ctx, p, after)
-	o.done("newest", began, err)
+	o.record("newest", began, err)
 	return snap, err
 }
 
@@ -70,7 +70,7 @@
 func (o *Observed) Join(ctx context.Context, req JoinRequest) (Membership, error) {
 	began := time.Now()
 	m, err := o.client.Join(ctx, req)
-	o.done("join", began, err)
+	o.record("join", began, err)
 	return m, err
 }
 
@@ -78,7 +78,7 @@
 func (o *Observed) Leave(ctx context.Context, group, member string) error {
 	began := time.Now()
 	err := o.client.Leave(ctx, group, member)
-	o.done("leave", began, err)
+	o.record("leave", began, err)
 	return err
 }
 
@@ -86,6 +86,6 @@
 func (o *Observed) Owners(ctx context.Context, group string) ([]Owner, error) {
 	began := time.Now()
 	owners, err := o.client.Owners(ctx, group)
-	o.done("owners", began, err)
+	o.record("owners", began, err)
 	return owners, err
 }
--- a/store/pace.go
+++ b/store/pace.go
@@ -11,17 +11,17 @@
 
 // Bounds of a Pace, in reads a second.
 const (
-	// paceMost lets a host read two dozen partitions for its callers, each four times a
+	// maxReadRate lets a host read two dozen partitions for its callers, each four times a
 	// second: results are told well within the second that callers expect.
-	paceMost = 100
-	// paceLeast still brings one partition up to date within its caller's half second.
-	paceLeast = 5
-	// paceGrowth is what is added for each second without a refusal: from least to most
+	maxReadRate = 100
+	// minReadRate still brings one partition up to date within its caller's half second.
+	minReadRate = 5
+	// readRateGrowth is what is added for each second without a refusal: from least to most
 	// in ten seconds.
-	paceGrowth = 10
-	// paceCutEvery is the least time between two halvings. Reads that were under way
+	readRateGrowth = 10
+	// minBackoffInterval is the least time between two halvings. Reads that were under way
 	// together are refused together, and say the same.
-	paceCutEvery = 500 * time.Millisecond
+	minBackoffInterval = 500 * time.Millisecond
 )
 
 // Pace bounds the reads that a process makes for its callers beside its own duties. The
@@ -30,51 +30,51 @@
 // outage processes that all followed what callers asked for were turned away, and with
 // them those that ran the jobs, for as long as they went on.
 type Pace struct {
-	bucket *rate.Limiter
+	limiter *rate.Limiter
 
-	mu      sync.Mutex
-	cut     time.Time // when the rate was halved last
-	changed time.Time // when the rate was changed last
+	mu          sync.Mutex
+	backedOffAt time.Time // when the rate was halved last
+	adjustedAt  time.Time // when the rate was changed last
 }
 
 // NewPace returns a Pace at its highest rate.
 func NewPace() *Pace {
-	return &Pace{bucket: rate.NewLimiter(paceMost, paceMost/10)}
+	return &Pace{limiter: rate.NewLimiter(maxReadRate, maxReadRate/10)}
 }
 
 // Rate returns the reads a second that are let through now.
 func (p *Pace) Rate() float64 {
-	return float64(p.bucket.Limit())
+	return float64(p.limiter.Limit())
 }
 
 // wait waits for a turn. Without one before ctx ends it fails at once: nothing was
 // asked of the store then.
 func (p *Pace) wait(ctx context.Context) error {
-	if err := p.bucket.Wait(ctx); err != nil {
+	if err := p.limiter.Wait(ctx); err != nil {
 		return errors.Mark(err, ErrRefused)
 	}
 	return nil
 }
 
-// note takes how a read ended.
-func (p *Pace) note(now time.Time, err error) {
+// observe takes how a read ended.
+func (p *Pace) observe(now time.Time, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	limit := float64(p.bucket.Limit())
+	limit := float64(p.limiter.Limit())
 	switch {
 	case errors.Is(err, ErrRefused):
-		if now.Sub(p.cut) < paceCutEvery {
+		if now.Sub(p.backedOffAt) < minBackoffInterval {
 			return
 		}
-		p.cut = now
-		limit = max(paceLeast, limit/2)
+		p.backedOffAt = now
+		limit = max(minReadRate, limit/2)
 	case err == nil:
-		limit = min(paceMost, limit+paceGrowth*min(now.Sub(p.changed), time.Second).Seconds())
+		limit = min(maxReadRate, limit+readRateGrowth*min(now.Sub(p.adjustedAt), time.Second).Seconds())
 	default:
 		return // no answer says nothing of the store's rate
 	}
-	p.changed = now
-	p.bucket.SetLimitAt(now, rate.Limit(limit))
+	p.adjustedAt = now
+	p.limiter.SetLimitAt(now, rate.Limit(limit))
 }
 
 // Paced is a Log whose reads keep to a Pace while Urgent says no.
@@ -86,15 +86,15 @@
 
 // Read implements Log.
 func (l Paced) Read(ctx context.Context, p Partition, from int64, wait time.Duration) (Page, error) {
-	return paced(ctx, l, func() (Page, error) { return l.Log.Read(ctx, p, from, wait) })
+	return limitReads(ctx, l, func() (Page, error) { return l.Log.Read(ctx, p, from, wait) })
 }
 
 // Newest implements Log.
 func (l Paced) Newest(ctx context.Context, p Partition, after string) (Snapshot, error) {
-	return paced(ctx, l, func() (Snapshot, error) { return l.Log.Newest(ctx, p, after) })
+	return limitReads(ctx, l, func() (Snapshot, error) { return l.Log.Newest(ctx, p, after) })
 }
 
-func paced[T any](ctx context.Context, l Paced, read func() (T, error)) (T, error) {
+func limitReads[T any](ctx context.Context, l Paced, read func() (T, error)) (T, error) {
 	if l.Urgent() {
 		return read()
 	}
@@ -103,6 +103,6 @@
 		return none, err
 	}
 	got, err := read()
-	l.Pace.note(time.Now(), err)
+	l.Pace.observe(time.Now(), err)
 	return got, err
 }
--- a/store/pace_test.go
+++ b/store/pace_test.go
@@ -12,11 +12,11 @@
 	"pumiceford/store"
 )
 
-// readFor reads a partition as often as it is let, and returns how many reads the store
+// readRepeatedly reads a partition as often as it is let, and returns how many reads the store
 // served and how many it turned away.
-func readFor(ctx context.Context, log store.Log, d time.Duration) (served, refused int) {
+func readRepeatedly(ctx context.Context, log store.Log, d time.Duration) (served, refused int) {
 	for until := time.Now().Add(d); time.Now().Before(until); {
-		switch _, err := log.Read(ctx, part, 0, 0); {
+		switch _, err := log.Read(ctx, testPartition, 0, 0); {
 		case err == nil:
 			served++
 		case errors.Is(err, store.ErrRefused):
@@ -31,25 +31,25 @@
 func TestAPaceFallsWhileTheStoreTurnsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
-		s.Put(part, "k", []byte("v"))
+		s.Put(testPartition, "k", []byte("v"))
 		pace := store.NewPace()
 		log := store.Paced{Log: s.For("a"), Pace: pace, Urgent: func() bool { return false }}
-		calm, refused := readFor(t.Context(), log, 10*time.Second)
+		calm, refused := readRepeatedly(t.Context(), log, 10*time.Second)
 		if refused != 0 || calm < 500 || calm > 1500 {
 			t.Fatalf("calm: %d served, %d refused in 10 s", calm, refused)
 		}
 		s.SetFault("a", sharedstore.Refuse)
-		readFor(t.Context(), log, 5*time.Second)
+		readRepeatedly(t.Context(), log, 5*time.Second)
 		if pace.Rate() > 10 {
 			t.Errorf("%g reads a second after five seconds of refusals", pace.Rate())
 		}
-		_, refused = readFor(t.Context(), log, 10*time.Second)
+		_, refused = readRepeatedly(t.Context(), log, 10*time.Second)
 		if refused == 0 || refused > calm/5 {
 			t.Errorf("turned away: %d tries in 10 s, %d when calm", refused, calm)
 		}
 		s.SetFault("a", sharedstore.None)
-		readFor(t.Context(), log, 15*time.Second)
-		if again, _ := readFor(t.Context(), log, 10*time.Second); again < calm*9/10 {
+		readRepeatedly(t.Context(), log, 15*time.Second)
+		if again, _ := readRepeatedly(t.Context(), log, 10*time.Second); again < calm*9/10 {
 			t.Errorf("calm again: %d served in 10 s, %d before", again, calm)
 		}
 	})
@@ -60,16 +60,16 @@
 func TestUrgentReadsAreNotPaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
-		s.Put(part, "k", []byte("v"))
+		s.Put(testPartition, "k", []byte("v"))
 		pace := store.NewPace()
 		callers := store.Paced{Log: s.For("a"), Pace: pace, Urgent: func() bool { return false }}
 		own := store.Paced{Log: s.For("a"), Pace: pace, Urgent: func() bool { return true }}
 		s.SetFault("a", sharedstore.Refuse)
-		readFor(t.Context(), callers, 5*time.Second)
+		readRepeatedly(t.Context(), callers, 5*time.Second)
 		s.SetFault("a", sharedstore.None)
 		began := time.Now()
 		for range 1000 {
-			if _, err := own.Read(t.Context(), part, 0, 0); err != nil {
+			if _, err := own.Read(t.Context(), testPartition, 0, 0); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -85,11 +85,11 @@
 		s := sharedstore.New(1)
 		log := store.Paced{Log: s.For("a"), Pace: store.NewPace(), Urgent: func() bool { return false }}
 		s.SetFault("a", sharedstore.Refuse)
-		readFor(t.Context(), log, 5*time.Second)
+		readRepeatedly(t.Context(), log, 5*time.Second)
 		began, calls := time.Now(), s.Calls()
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
-		if _, err := log.Newest(ctx, part, ""); !errors.Is(err, store.ErrRefused) {
+		if _, err := log.Newest(ctx, testPartition, ""); !errors.Is(err, store.ErrRefused) {
 			t.Errorf("got %v", err)
 		}
 		if took := time.Since(began); took > 0 || s.Calls() != calls {
@@ -103,8 +103,8 @@
 func TestAwayMeansNoWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
-		f := failover(s)
-		read := func() { _, _ = f.Read(t.Context(), part, 0, 0) } // what it shows is in Away
+		f := newFailover(s)
+		read := func() { _, _ = f.Read(t.Context(), testPartition, 0, 0) } // what it shows is in Away
 		for _, step := range []struct {
 			faults map[string]sharedstore.Fault
 			away   bool
