--- a/store/failover.go
+++ b/store/failover.go
@@ -8,96 +8,96 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Bounds of Failover.
+// Timeouts and limits of a Failover.
 const (
-	// callTimeout bounds a call that waits for nothing.
+	// callTimeout bounds a call that does not wait for records.
 	callTimeout = 800 * time.Millisecond
-	// slowAnswerTimeout bounds an answer beyond the time after which another way is
-	// tried as well.
+	// slowAnswerTimeout is how long a slow call may continue after the next backend has
+	// been tried as well.
 	slowAnswerTimeout = 4 * time.Second
-	// avoidInterval is how long a way that failed is tried last: long enough that a
-	// silent store does not hold up each call, short enough to return to the
-	// direct way soon.
-	avoidInterval = time.Second
-	// maxPeersPerCall bounds the peers asked for one call.
+	// avoidInterval is how long a failed backend is avoided: long enough that an
+	// unresponsive store does not delay each call, short enough to return to direct
+	// calls soon.
+	avoidInterval   = time.Second
 	maxPeersPerCall = 2
 )
 
-// Joiner is the part of Groups that peers carry out for each other.
+// Joiner is the part of Groups that peers forward for each other.
 type Joiner interface {
 	Join(ctx context.Context, req JoinRequest) (Membership, error)
 }
 
-// Peer is a way to the store through another process.
+// Peer is a client of the store that makes its calls through another process.
 type Peer interface {
 	Log
 	Joiner
 }
 
-// Failover is a Client that goes through peers while the store refuses this
-// host or does not answer it. A store may turn single hosts away for seconds
-// while it serves the others; without the way through peers such a host could
-// neither learn of changes nor accept jobs.
+// Failover is a Client that calls the store through peers while the store refuses
+// this host or does not answer it. A store may refuse single hosts for seconds while
+// it serves the others; without peers, such a host could neither read changes nor
+// accept jobs.
 type Failover struct {
 	direct Client
-	peers  func() []Peer // ways to try, best first
+	peers  func() []Peer // in order of preference
 
 	mu               sync.Mutex
 	avoidDirectUntil time.Time
 	avoidPeersUntil  time.Time
-	// unproved says that the direct way has failed and not answered since, peersFailed
-	// the same of the ways through peers.
+	// directFailed is set when a direct call fails and cleared when one is answered.
+	// peersFailed is the same for calls through peers.
 	directFailed bool
 	peersFailed  bool
 }
 
-// NewFailover returns a Failover.
+// NewFailover returns a Failover that prefers direct and falls back to the peers that
+// peers returns, in that order.
 func NewFailover(direct Client, peers func() []Peer) *Failover {
 	return &Failover{direct: direct, peers: peers}
 }
 
-// Append implements Log. An append without an answer is not repeated here: the
-// caller reads what became of it first.
+// Append implements Log. It does not retry an append without an answer, since the
+// append may have been applied: the caller has to read the partition first.
 func (f *Failover) Append(ctx context.Context, p Partition, recs []Record, at int64) (int64, error) {
-	var last error
-	for _, way := range f.backends(true) {
-		one, cancel := context.WithTimeout(ctx, callTimeout)
-		end, err := way.Append(one, p, recs, at)
+	var lastErr error
+	for _, b := range f.backends(true) {
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		end, err := b.Append(callCtx, p, recs, at)
 		cancel()
 		if err == nil || !canFailOver(err) {
-			f.recordResult(way, nil)
+			f.recordResult(b, nil)
 			return end, err
 		}
 		if ctx.Err() != nil {
 			return 0, err
 		}
-		f.recordResult(way, err)
-		last = err
+		f.recordResult(b, err)
+		lastErr = err
 		if errors.Is(err, ErrUnavailable) {
 			break
 		}
 	}
-	return 0, last
+	return 0, lastErr
 }
 
 // Read implements Log.
 func (f *Failover) Read(ctx context.Context, p Partition, from int64, wait time.Duration) (Page, error) {
-	return firstAnswer(ctx, f, wait+callTimeout, func(ctx context.Context, way Peer) (Page, error) {
-		return way.Read(ctx, p, from, wait)
+	return firstAnswer(ctx, f, wait+callTimeout, func(ctx context.Context, b Peer) (Page, error) {
+		return b.Read(ctx, p, from, wait)
 	})
 }
 
 // Newest implements Log.
 func (f *Failover) Newest(ctx context.Context, p Partition, after string) (Snapshot, error) {
-	return firstAnswer(ctx, f, callTimeout, func(ctx context.Context, way Peer) (Snapshot, error) {
-		return way.Newest(ctx, p, after)
+	return firstAnswer(ctx, f, callTimeout, func(ctx context.Context, b Peer) (Snapshot, error) {
+		return b.Newest(ctx, p, after)
 	})
 }
 
 // Join implements Groups.
 func (f *Failover) Join(ctx context.Context, req JoinRequest) (Membership, error) {
-	return firstAnswer(ctx, f, callTimeout, func(ctx context.Context, way Peer) (Membership, error) {
-		return way.Join(ctx, req)
+	return firstAnswer(ctx, f, callTimeout, func(ctx context.Context, b Peer) (Membership, error) {
+		return b.Join(ctx, req)
 	})
 }
 
@@ -115,73 +115,75 @@
 	return f.direct.Owners(ctx, group)
 }
 
-// firstAnswer makes a call that changes nothing, or the same again, by the ways in
-// turn: the next one when a way fails, or has not answered after quiet. A way that
-// is only slow goes on meanwhile, for slowAnswerTimeout: a large answer over a narrow link
-// would otherwise be asked for again and again.
-func firstAnswer[T any](ctx context.Context, f *Failover, quiet time.Duration, do func(context.Context, Peer) (T, error)) (T, error) {
+// firstAnswer makes an idempotent call with hedging: it calls the backends in order and
+// starts the next call when one fails or has not answered after hedgeDelay. A slow call
+// continues meanwhile for up to slowAnswerTimeout; otherwise a large answer over a slow
+// link would be requested repeatedly without ever completing.
+func firstAnswer[T any](ctx context.Context, f *Failover, hedgeDelay time.Duration, call func(context.Context, Peer) (T, error)) (T, error) {
 	type answer struct {
-		way Peer
-		got T
-		err error
+		backend Peer
+		result  T
+		err     error
 	}
-	var none T
+	var zero T
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ways := f.backends(false)
-	answers := make(chan answer, len(ways))
-	timer := time.NewTimer(quiet)
+	backends := f.backends(false)
+	answers := make(chan answer, len(backends))
+	timer := time.NewTimer(hedgeDelay)
 	defer timer.Stop()
-	begun, running := 0, 0
-	begin := func() {
-		if begun == len(ways) {
+	started, inFlight := 0, 0
+	startNext := func() {
+		if started == len(backends) {
 			return
 		}
-		way := ways[begun]
-		begun++
-		running++
-		timer.Reset(quiet)
+		b := backends[started]
+		started++
+		inFlight++
+		timer.Reset(hedgeDelay)
 		go func() {
-			one, cancel := context.WithTimeout(ctx, quiet+slowAnswerTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, hedgeDelay+slowAnswerTimeout)
 			defer cancel()
-			got, err := do(one, way)
-			answers <- answer{way, got, err}
+			result, err := call(callCtx, b)
+			answers <- answer{b, result, err}
 		}()
 	}
-	begin()
-	var last error
-	for running > 0 {
+	startNext()
+	var lastErr error
+	for inFlight > 0 {
 		select {
 		case a := <-answers:
-			running--
+			inFlight--
 			if a.err == nil || !canFailOver(a.err) {
-				f.recordResult(a.way, nil)
-				return a.got, a.err
+				f.recordResult(a.backend, nil)
+				return a.result, a.err
 			}
 			if ctx.Err() != nil {
-				return none, a.err
+				return zero, a.err
 			}
-			f.recordResult(a.way, a.err)
-			last = a.err
-			begin()
+			f.recordResult(a.backend, a.err)
+			lastErr = a.err
+			startNext()
 		case <-timer.C:
-			f.recordResult(ways[begun-1], ErrUnavailable)
-			begin()
+			f.recordResult(backends[started-1], ErrUnavailable)
+			startNext()
 		case <-ctx.Done():
-			return none, errors.Mark(ctx.Err(), ErrUnavailable)
+			return zero, errors.Mark(ctx.Err(), ErrUnavailable)
 		}
 	}
-	return none, last
+	return zero, lastErr
 }
 
-// Reaches reports whether the direct way works, as far as the last call over it tells.
+// Reaches reports whether the store is directly reachable. It returns false while the last
+// direct call got no answer or was refused.
 func (f *Failover) Reaches() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.directFailed
 }
 
-// Away reports whether no way works, as far as the last calls tell.
+// Away reports whether the store is unreachable: the last direct call failed, and so did the
+// last call through peers, or there are no peers.
 func (f *Failover) Away() bool {
 	noPeers := len(f.peers()) == 0
 	f.mu.Lock()
@@ -189,21 +191,22 @@
 	return f.directFailed && (f.peersFailed || noPeers)
 }
 
-// canFailOver reports whether another way may serve a call that failed so.
+// canFailOver reports whether another backend may serve a call that failed with err.
 func canFailOver(err error) bool {
 	return errors.Is(err, ErrUnavailable) || errors.Is(err, ErrRefused)
 }
 
-// backends returns the ways to try, in order. A direct way that has failed is tried again
-// after avoidInterval, but not by an append: an append that is not answered cannot be
-// repeated elsewhere, and a caller waits for it. A read that succeeds clears it.
-func (f *Failover) backends(appends bool) []Peer {
+// backends returns the backends to call, in order. After a failed direct call, reads try
+// the direct client first again once avoidInterval has passed. Appends do so only after a
+// successful direct read, since an append without an answer cannot be retried elsewhere
+// and a caller waits for it.
+func (f *Failover) backends(isAppend bool) []Peer {
 	f.mu.Lock()
 	now := time.Now()
-	directLast, noPeers := now.Before(f.avoidDirectUntil) || appends && f.directFailed, now.Before(f.avoidPeersUntil)
+	directLast, skipPeers := now.Before(f.avoidDirectUntil) || isAppend && f.directFailed, now.Before(f.avoidPeersUntil)
 	f.mu.Unlock()
 	var peers []Peer
-	if !noPeers {
+	if !skipPeers {
 		peers = f.peers()
 		peers = peers[:min(len(peers), maxPeersPerCall)]
 	}
@@ -213,14 +216,15 @@
 	return append([]Peer{f.direct}, peers...)
 }
 
-func (f *Failover) recordResult(way Peer, err error) {
+// recordResult updates the state of direct calls or of calls through peers.
+func (f *Failover) recordResult(backend Peer, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	until := time.Time{}
 	if err != nil {
 		until = time.Now().Add(avoidInterval)
 	}
-	if way == Peer(f.direct) {
+	if backend == Peer(f.direct) {
 		f.avoidDirectUntil, f.directFailed = until, err != nil
 		return
 	}
--- a/store/failover_test.go
+++ b/store/failover_test.go
@@ -16,9 +16,9 @@
 	return store.NewFailover(s.For("a"), func() []store.Peer { return []store.Peer{s.For("b"), s.For("c")} })
 }
 
-// Guards against this: an entry takes no jobs in and learns of no change while others
-// work.
-func TestRefusedHostGoesThroughPeers(t *testing.T) {
+// Guards against an entry that accepts no jobs and sees no changes while the store refuses
+// or does not answer its host but serves others.
+func TestRefusedHostCallsThroughPeers(t *testing.T) {
 	for _, fault := range []sharedstore.Fault{sharedstore.Refuse, sharedstore.Silent} {
 		synctest.Test(t, func(t *testing.T) {
 			s := sharedstore.New(1)
@@ -39,24 +39,24 @@
 	}
 }
 
-// Guards against this: a record stands twice.
-func TestAppendWithoutAnswerIsNotRepeated(t *testing.T) {
+// Guards against a duplicate record: an append whose answer is lost has been applied.
+func TestAppendWithoutAnswerIsNotRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
 		s.SetFault("a", sharedstore.LoseAnswer)
 		_, err := newFailover(s).Append(t.Context(), testPartition, []store.Record{{Key: "k", Value: []byte("v")}}, store.AnyEnd)
 		if !errors.Is(err, store.ErrUnavailable) {
-			t.Fatalf("got %v, want no answer", err)
+			t.Fatalf("append: got error %v, want ErrUnavailable", err)
 		}
 		if n := len(s.Records(testPartition)); n != 1 {
-			t.Fatalf("%d records", n)
+			t.Fatalf("got %d records, want 1", n)
 		}
 	})
 }
 
-// Guards against this: the store's call limit is used up by calls that fail, and each
-// call of every entry takes three times as long.
-func TestPeersAreLeftAloneWhileTheyFailToo(t *testing.T) {
+// Guards against calls to failing peers, which use up the store's call limit and make each
+// call of every entry take three times as long.
+func TestAvoidsFailingPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
 		for _, h := range []string{"a", "b", "c"} {
@@ -67,18 +67,18 @@
 		for range calls {
 			_, err := f.Read(t.Context(), testPartition, 0, 0)
 			if !errors.Is(err, store.ErrRefused) {
-				t.Fatalf("got %v", err)
+				t.Fatalf("got error %v, want ErrRefused", err)
 			}
 		}
-		// The first call tries two peers; the others within the second do not.
+		// Only the first call within the second tries the two peers.
 		if got := s.Calls(); got > calls+2 {
-			t.Fatalf("%d calls for %d", got, calls)
+			t.Fatalf("the store received %d calls for %d reads", got, calls)
 		}
 	})
 }
 
-// Guards against this: each call takes as long as the silence of the direct way.
-func TestSilentDirectWayIsTriedLast(t *testing.T) {
+// Guards against calls that each wait for the timeout of a store that does not answer.
+func TestAvoidsUnresponsiveStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
 		s.SetFault("a", sharedstore.Silent)
@@ -90,14 +90,14 @@
 			}
 		}
 		if took := time.Since(began); took > time.Second {
-			t.Fatalf("ten calls took %s of virtual time", took)
+			t.Fatalf("ten calls took %s of virtual time, want at most 1s", took)
 		}
 	})
 }
 
-// Guards against this: once a second a job that comes to a host which the store does not
-// answer is held for 0.8 s, and then neither taken in nor truthfully refused.
-func TestAnAppendDoesNotTryASilentWayAgain(t *testing.T) {
+// Guards against appends that retry a store which does not answer: once a second, a job would
+// wait for 0.8 s and then be neither accepted nor refused with a definite answer.
+func TestAppendAvoidsUnresponsiveStoreUntilRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
 		f := newFailover(s)
@@ -110,7 +110,7 @@
 			time.Sleep(1500 * time.Millisecond)
 			began := time.Now()
 			if _, err := f.Append(ctx, testPartition, []store.Record{{Key: "k", Value: []byte("v")}}, store.AnyEnd); err != nil || time.Since(began) > 0 {
-				t.Errorf("append %d: %v after %s", n, err, time.Since(began))
+				t.Errorf("append %d: got error %v after %s, want success at once", n, err, time.Since(began))
 			}
 		}
 		s.SetFault("a", sharedstore.None)
@@ -118,9 +118,9 @@
 		if _, err := f.Newest(ctx, testPartition, ""); err != nil {
 			t.Fatal(err)
 		}
-		s.SetFault("b", sharedstore.Silent) // the peer: the direct way is the first again
+		s.SetFault("b", sharedstore.Silent) // a peer: direct calls are preferred again
 		if _, err := f.Append(ctx, testPartition, []store.Record{{Key: "k", Value: []byte("v")}}, store.AnyEnd); err != nil {
-			t.Errorf("after the return: %v", err)
+			t.Errorf("append after the store recovered: %v", err)
 		}
 	})
 }
--- a/store/follower.go
+++ b/store/follower.go
@@ -10,44 +10,44 @@
 	"pumiceford/internal/wait"
 )
 
-// Sink receives the records of a followed partition, one call at a time and in
-// their order.
+// Sink receives the records of a followed partition. The follower makes one call at a
+// time and delivers records in offset order.
 type Sink interface {
-	// Reset replaces all state by the newest records of all keys.
+	// Reset replaces the whole state with the newest record of each key.
 	Reset(recs []Record)
-	// Apply takes records that came together, in their order.
+	// Apply applies a batch of consecutive records.
 	Apply(recs ...Record)
 }
 
-// FollowSettings shape a Follower.
+// FollowSettings configures a Follower.
 type FollowSettings struct {
-	// Wait is how long one read waits for records. A connection that has gone
-	// silent is noticed that much later at most.
+	// Wait is how long one read waits for records. It bounds the delay until an
+	// unresponsive connection is detected.
 	Wait time.Duration
-	// Pause is left between reads that return records, so that a busy partition
-	// costs a bounded number of calls.
+	// Pause is the delay after a read that returns records. It bounds the rate of
+	// calls for a busy partition.
 	Pause time.Duration
-	// OnTrouble is told of the first read that fails, OnContact of the first that
-	// succeeds after it.
+	// OnTrouble is called on the first failed read of an outage, OnContact on the first
+	// read that succeeds after it, with the length of the outage.
 	OnTrouble func(err error)
-	OnContact func(away time.Duration)
-	// Loads bounds the whole partitions that are read at a time; nil sets no bound.
+	OnContact func(outage time.Duration)
+	// Loads bounds the number of concurrent full reads of partitions; nil sets no bound.
 	Loads Loads
-	// Clock is a steady clock for Confirmed; nil where that is not used.
+	// Clock is a monotonic clock for confirmation times; nil if they are not used.
 	Clock func() time.Duration
 }
 
-// Loads bounds how many whole partitions a process reads at a time. Many at once over a
-// narrow link would all run into their timeouts and begin again.
+// Loads is a semaphore that bounds how many partitions a process loads in full at a time.
+// Many concurrent loads over a slow link would all time out and start again.
 type Loads chan struct{}
 
-// NewLoads returns Loads that let n partitions be read at a time.
+// NewLoads returns a semaphore that permits n concurrent loads.
 func NewLoads(n int) Loads {
 	return make(Loads, n)
 }
 
-// acquire waits for a turn. The caller calls leave when it has read its partition.
-func (l Loads) acquire(ctx context.Context) (leave func(), err error) {
+// acquire waits until a load is permitted. The caller calls release after the load.
+func (l Loads) acquire(ctx context.Context) (release func(), err error) {
 	if l == nil {
 		return func() {}, nil
 	}
@@ -59,21 +59,22 @@
 	}
 }
 
-// Bounds of following.
+// Timeouts and delays of a Follower.
 const (
-	// readTimeoutMargin is added to a read's wait before it counts as lost.
+	// readTimeoutMargin is added to the wait time of a read to get its timeout.
 	readTimeoutMargin = 700 * time.Millisecond
-	// minRetryDelay and maxRetryDelay bound the pause after failed reads.
+	// minRetryDelay and maxRetryDelay bound the exponential back-off after failed reads.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 400 * time.Millisecond
-	// sharedLoadWait is how long a load that another caller has begun is waited for. It may
-	// hang on a connection that has gone silent.
+	// sharedLoadWait is how long a caller waits for a load started by another caller, which
+	// may hang on an unresponsive connection.
 	sharedLoadWait = 500 * time.Millisecond
-	// checkTimeout bounds one look at the end of a partition.
+	// checkTimeout bounds reading up to the end of a partition.
 	checkTimeout = time.Second
 )
 
-// Follower keeps a Sink up to date with one partition.
+// Follower keeps a Sink up to date with one partition. Its methods may be called
+// concurrently.
 type Follower struct {
 	log       Log
 	partition Partition
@@ -82,66 +83,67 @@
 	mu         sync.Mutex
 	sink       Sink
 	loaded     bool
-	loadsDone  int           // how often the whole partition was read
-	loadSem    chan struct{} // one load of this partition at a time
+	loadsDone  int           // number of completed full loads
+	loadSem    chan struct{} // serialises full loads of this partition
 	nextOffset int64         // offset of the next record to apply
-	asOf       time.Time     // the state is known to be complete up to this moment
-	// confirmed is when the last read that reached the end was begun, by set.Clock.
+	asOf       time.Time     // time up to which the state is known to be complete
+	// confirmedAt is the start, by cfg.Clock, of the last read that reached the end.
 	confirmedAt  time.Duration
 	hasConfirmed bool
-	checkSem     chan struct{}
-	changed      chan struct{} // closed and replaced at each change
+	checkSem     chan struct{} // serialises reads up to the end of the partition
+	changed      chan struct{} // closed and replaced on each change
 }
 
-// NewFollower returns a Follower. It reads nothing before Run or Catch.
-func NewFollower(log Log, part Partition, sink Sink, set FollowSettings) *Follower {
-	if set.OnTrouble == nil {
-		set.OnTrouble = func(error) {}
+// NewFollower returns a Follower. It makes no reads until one of its methods is
+// called.
+func NewFollower(log Log, part Partition, sink Sink, cfg FollowSettings) *Follower {
+	if cfg.OnTrouble == nil {
+		cfg.OnTrouble = func(error) {}
 	}
-	if set.Clock == nil {
-		set.Clock = func() time.Duration { return 0 }
+	if cfg.Clock == nil {
+		cfg.Clock = func() time.Duration { return 0 }
 	}
-	if set.OnContact == nil {
-		set.OnContact = func(time.Duration) {}
+	if cfg.OnContact == nil {
+		cfg.OnContact = func(time.Duration) {}
 	}
 	return &Follower{
-		log: log, partition: part, sink: sink, cfg: set,
+		log: log, partition: part, sink: sink, cfg: cfg,
 		checkSem: make(chan struct{}, 1),
 		loadSem:  make(chan struct{}, 1),
 		changed:  make(chan struct{}),
 	}
 }
 
-// Run follows the partition until ctx ends.
+// Run follows the partition until ctx is cancelled.
 func (f *Follower) Run(ctx context.Context) {
-	pause := minRetryDelay
-	var since time.Time
+	retryDelay := minRetryDelay
+	var failedSince time.Time
 	for ctx.Err() == nil {
-		got, err := f.readOnce(ctx)
+		received, err := f.readOnce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			if since.IsZero() {
-				since = time.Now()
+			if failedSince.IsZero() {
+				failedSince = time.Now()
 				f.cfg.OnTrouble(err)
 			}
-			_ = wait.For(ctx, pause)
-			pause = min(2*pause, maxRetryDelay)
+			_ = wait.For(ctx, retryDelay)
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 			continue
 		}
-		if !since.IsZero() {
-			f.cfg.OnContact(time.Since(since))
-			since = time.Time{}
+		if !failedSince.IsZero() {
+			f.cfg.OnContact(time.Since(failedSince))
+			failedSince = time.Time{}
 		}
-		pause = minRetryDelay
-		if got {
+		retryDelay = minRetryDelay
+		if received {
 			_ = wait.For(ctx, f.cfg.Pause)
 		}
 	}
 }
 
-// readOnce makes one read. It reports whether records came.
+// readOnce loads the partition or makes one read. It reports whether it received records.
 func (f *Follower) readOnce(ctx context.Context) (bool, error) {
 	f.mu.Lock()
 	loaded, from := f.loaded, f.nextOffset
@@ -152,8 +154,8 @@
 	return f.read(ctx, from, f.cfg.Wait)
 }
 
-// load reads the whole partition. Callers at the same time share one load: two
-// of them would take twice the link for the same records.
+// load reads the whole partition. Concurrent callers share one load, since each further
+// one would transfer the same records again.
 func (f *Follower) load(ctx context.Context) error {
 	before := f.loadCount()
 	timer := time.NewTimer(sharedLoadWait)
@@ -168,11 +170,11 @@
 	if f.loadCount() != before {
 		return nil
 	}
-	leave, err := f.cfg.Loads.acquire(ctx)
+	release, err := f.cfg.Loads.acquire(ctx)
 	if err != nil {
 		return err
 	}
-	defer leave()
+	defer release()
 	return f.loadNow(ctx)
 }
 
@@ -182,10 +184,11 @@
 	return f.loadsDone
 }
 
+// loadNow reads the whole partition and replaces the state.
 func (f *Follower) loadNow(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, f.cfg.Wait+readTimeoutMargin)
 	defer cancel()
-	began, clock := time.Now(), f.cfg.Clock()
+	start, startClock := time.Now(), f.cfg.Clock()
 	snap, err := NewestAll(ctx, f.log, f.partition)
 	if err != nil {
 		return err
@@ -194,20 +197,22 @@
 	defer f.mu.Unlock()
 	f.loadsDone++
 	if f.loaded && snap.End < f.nextOffset {
-		return nil // it went on by reads meanwhile
+		return nil // concurrent reads have already moved past the snapshot
 	}
 	f.sink.Reset(snap.Records)
 	f.loaded, f.nextOffset = true, snap.End
-	f.advanceAsOfLocked(began)
-	f.confirmLocked(clock)
+	f.advanceAsOfLocked(start)
+	f.confirmLocked(startClock)
 	f.notifyLocked()
 	return nil
 }
 
+// read makes one read and applies its records, or loads the partition if records at from
+// are no longer retained. It reports whether the read returned records.
 func (f *Follower) read(ctx context.Context, from int64, wait time.Duration) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeoutMargin)
 	defer cancel()
-	began, clock := time.Now(), f.cfg.Clock()
+	start, startClock := time.Now(), f.cfg.Clock()
 	page, err := f.log.Read(ctx, f.partition, from, wait)
 	var trimmed *TrimmedError
 	if errors.As(err, &trimmed) {
@@ -221,28 +226,28 @@
 	f.applyLocked(page.Records)
 	switch {
 	case len(page.Records) == 0:
-		f.advanceAsOfLocked(began.Add(wait)) // the store waited that long in vain
+		f.advanceAsOfLocked(start.Add(wait)) // no record arrived while the store waited
 	case f.nextOffset >= page.End:
-		f.advanceAsOfLocked(began)
+		f.advanceAsOfLocked(start)
 	}
 	if f.nextOffset >= page.End {
-		f.confirmLocked(clock)
+		f.confirmLocked(startClock)
 	}
 	return len(page.Records) > 0, nil
 }
 
-// applyLocked takes the records that were not applied yet. f.mu is held.
+// applyLocked applies the records that have not been applied yet. f.mu is held.
 func (f *Follower) applyLocked(recs []Record) {
-	var fresh []Record
+	var unapplied []Record
 	for _, r := range recs {
 		if r.Offset != f.nextOffset {
-			continue // applied by a read that ran beside this one
+			continue // already applied by a concurrent read
 		}
-		fresh = append(fresh, r)
+		unapplied = append(unapplied, r)
 		f.nextOffset = r.Offset + 1
 	}
-	if len(fresh) > 0 {
-		f.sink.Apply(fresh...)
+	if len(unapplied) > 0 {
+		f.sink.Apply(unapplied...)
 		f.notifyLocked()
 	}
 }
@@ -257,9 +262,10 @@
 	f.confirmedAt, f.hasConfirmed = max(f.confirmedAt, at), true
 }
 
-// Confirmed returns a moment, by the clock of the settings, at which the state held all
-// that had been written. It counts from the begin of a read: a read that waits for
-// records may miss one that is written meanwhile. It reports false before the first one.
+// Confirmed returns the latest time, by the configured clock, at which the state is known to
+// have held all records of the partition. This is the start of a read, since a read that
+// waits for records may miss one that is written meanwhile. It reports false until a read has
+// reached the end of the partition.
 func (f *Follower) Confirmed() (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -271,14 +277,15 @@
 	f.changed = make(chan struct{})
 }
 
-// Catch makes sure that the state is at most maxAge old, reading the partition's
-// end when it may be older. Callers at the same time share one read.
+// Catch ensures that the state is at most maxAge old. If it may be older, it reads up to the
+// end of the partition; concurrent callers share that read.
 func (f *Follower) Catch(ctx context.Context, maxAge time.Duration) error {
 	oldest := time.Now().Add(-maxAge)
 	return f.readToEndUnless(ctx, func() bool { return !f.AsOf().Before(oldest) })
 }
 
-// Confirm makes sure that Confirmed is at most maxAge ago, as Catch does for the state.
+// Confirm ensures that the last confirmation is at most maxAge ago. Otherwise it reads up to
+// the end of the partition; concurrent callers share that read.
 func (f *Follower) Confirm(ctx context.Context, maxAge time.Duration) error {
 	oldest := f.cfg.Clock() - maxAge
 	confirmed := func() bool {
@@ -294,13 +301,13 @@
 	return nil
 }
 
-// errUnconfirmed says that a read succeeded without showing the partition's end, as one
-// that was shared with an earlier caller.
-var errUnconfirmed = errors.New("partition's end was not read")
+// errUnconfirmed reports that a read succeeded without reaching the partition's end
+// recently enough, for example a read shared with an earlier caller.
+var errUnconfirmed = errors.New("read did not confirm the end of the partition")
 
-// readToEndUnless reads the partition's end unless enough reports that this is not needed.
-func (f *Follower) readToEndUnless(ctx context.Context, enough func() bool) error {
-	if enough() {
+// readToEndUnless reads up to the end of the partition unless isCurrent returns true.
+func (f *Follower) readToEndUnless(ctx context.Context, isCurrent func() bool) error {
+	if isCurrent() {
 		return nil
 	}
 	select {
@@ -309,13 +316,14 @@
 		return errors.Mark(ctx.Err(), ErrUnavailable)
 	}
 	defer func() { <-f.checkSem }()
-	// The read that was waited for may have served this caller as well.
-	if enough() {
+	// The read of another caller may have brought the state up to date meanwhile.
+	if isCurrent() {
 		return nil
 	}
 	return f.readToEnd(ctx)
 }
 
+// readToEnd makes reads that do not wait until one returns no records.
 func (f *Follower) readToEnd(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
@@ -327,18 +335,18 @@
 			if err := f.load(ctx); err != nil {
 				return err
 			}
-			continue // a load that was shared may have begun before this was asked
+			continue // a shared load may have started before this call
 		}
-		got, err := f.read(ctx, from, 0)
-		if err != nil || !got {
+		received, err := f.read(ctx, from, 0)
+		if err != nil || !received {
 			return err
 		}
 	}
 }
 
-// Look calls fn with the state locked, the offset at which the partition was
-// seen to end, and a channel that is closed at the next change. It reports false
-// without a call while nothing was loaded.
+// Look calls fn with the lock of the follower held, so that fn may read the state of the
+// sink. It passes the offset of the next record to apply and a channel that is closed at the
+// next change. It reports false, without calling fn, while nothing has been loaded.
 func (f *Follower) Look(fn func(end int64, changed <-chan struct{})) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -349,8 +357,8 @@
 	return true
 }
 
-// Appended takes records that an append put at an offset, without waiting for
-// the read that will bring them.
+// Appended applies records that an append of this process wrote at offset at, without
+// waiting for the read that returns them. It sets the offsets in recs.
 func (f *Follower) Appended(recs []Record, at int64) {
 	for i := range recs {
 		recs[i].Offset = at + int64(i)
@@ -360,7 +368,7 @@
 	f.applyLocked(recs)
 }
 
-// AsOf returns the moment up to which the state is known to be complete.
+// AsOf returns the time up to which the state is known to be complete.
 func (f *Follower) AsOf() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/store/follower_test.go
+++ b/store/follower_test.go
@@ -17,11 +17,11 @@
 
 var testPartition = store.Partition{Topic: "t"}
 
-// mirror is a sink that keeps the newest value of each key.
+// mirror is a Sink that keeps the newest value of each key.
 type mirror struct {
 	values     map[string]string
 	last       int64 // offset of the last record applied
-	misordered bool  // one came twice or out of order
+	misordered bool  // a record was applied twice or out of order
 }
 
 func (m *mirror) Reset(recs []store.Record) {
@@ -59,20 +59,20 @@
 	return out
 }
 
-func state(f *store.Follower, m *mirror) (values map[string]string, again bool) {
-	f.Look(func(int64, <-chan struct{}) { values, again = maps.Clone(m.values), m.misordered })
-	return values, again
+func state(f *store.Follower, m *mirror) (values map[string]string, misordered bool) {
+	f.Look(func(int64, <-chan struct{}) { values, misordered = maps.Clone(m.values), m.misordered })
+	return values, misordered
 }
 
-// Guards against this: a node knows less, or something else, than the store holds.
+// Guards against a follower whose state differs from the store after faults and trims.
 func TestFollowerEqualsStore(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		// All is drawn before the bubble: rapid ends a draw by a panic.
-		moves := rapid.SliceOfN(rapid.Custom(drawStep), 1, 40).Draw(rt, "moves")
+		// Draw all steps outside the synctest bubble, as rapid stops a draw with a panic.
+		steps := rapid.SliceOfN(rapid.Custom(drawStep), 1, 40).Draw(rt, "moves")
 		var failure string
 		synctest.Test(t, func(*testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
-			failure = runSteps(ctx, moves)
+			failure = runSteps(ctx, steps)
 			cancel()
 			synctest.Wait()
 		})
@@ -82,7 +82,7 @@
 	})
 }
 
-// step is one step of a drawn story.
+// step is one randomly drawn step of a test run.
 type step struct {
 	Kind, Key, Ms int
 	Drop          bool
@@ -97,13 +97,14 @@
 	}
 }
 
-func runSteps(ctx context.Context, moves []step) string {
+// runSteps applies the steps and returns a failure message, or "".
+func runSteps(ctx context.Context, steps []step) string {
 	s := sharedstore.New(1)
 	m := &mirror{}
 	f := startFollower(ctx, s.For("a"), m)
 	want := make(map[string]string)
-	for i, mv := range moves {
-		switch mv.Kind {
+	for i, st := range steps {
+		switch st.Kind {
 		case 0:
 			s.Forget(testPartition)
 		case 1:
@@ -113,12 +114,12 @@
 		case 3:
 			s.SetFault("a", sharedstore.None)
 		case 4:
-			time.Sleep(time.Duration(mv.Ms) * time.Millisecond)
+			time.Sleep(time.Duration(st.Ms) * time.Millisecond)
 		case 5:
-			_ = f.Catch(ctx, 0) // the end says whether anything is missing
+			_ = f.Catch(ctx, 0) // may fail during a fault; the final comparison decides
 		default:
-			key, value := fmt.Sprint("k", mv.Key), fmt.Sprint("v", i)
-			if mv.Drop {
+			key, value := fmt.Sprint("k", st.Key), fmt.Sprint("v", i)
+			if st.Drop {
 				value = ""
 				delete(want, key)
 			} else {
@@ -129,8 +130,8 @@
 	}
 	s.SetFault("a", sharedstore.None)
 	time.Sleep(5 * time.Second)
-	got, again := state(f, m)
-	if again {
+	got, misordered := state(f, m)
+	if misordered {
 		return "a record was applied twice or out of order"
 	}
 	if !maps.Equal(got, want) {
@@ -139,9 +140,9 @@
 	return ""
 }
 
-// Guards against this: a caller is told that something does not exist which another node
-// has told of a second ago.
-func TestCatchReadsBesideASilentRead(t *testing.T) {
+// Guards against a stale "not found" for a record that another node reported a second ago:
+// catching up must not wait for a pending read on an unresponsive connection.
+func TestCatchUpDoesNotWaitForPendingRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -150,7 +151,7 @@
 		f := store.NewFollower(s.For("a"), testPartition, m, store.FollowSettings{Wait: time.Hour})
 		go f.Run(ctx)
 		time.Sleep(10 * time.Millisecond)
-		s.SetFault("a", sharedstore.Silent) // the waiting read is answered no more
+		s.SetFault("a", sharedstore.Silent) // the pending read gets no answer
 		synctest.Wait()
 		s.Put(testPartition, "k", []byte("v"))
 		s.SetFault("a", sharedstore.None)
@@ -159,13 +160,13 @@
 			t.Fatal(err)
 		}
 		if got := values(f, m)["k"]; got != "v" {
-			t.Fatalf("got %q after the state was made current", got)
+			t.Fatalf("after catching up: got %q, want v", got)
 		}
 	})
 }
 
-// Guards against this: "no such job" while the store is away.
-func TestCatchFailsWhileTheStoreIsAway(t *testing.T) {
+// Guards against a wrong "no such job" answer while the store refuses calls.
+func TestCatchUpFailsWhileStoreRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -175,7 +176,7 @@
 		s.SetFault("a", sharedstore.Refuse)
 		time.Sleep(3 * time.Second)
 		if err := f.Catch(ctx, 300*time.Millisecond); !errors.Is(err, store.ErrRefused) {
-			t.Fatalf("got %v, want a refusal", err)
+			t.Fatalf("got error %v, want ErrRefused", err)
 		}
 	})
 }
--- a/store/narrow_test.go
+++ b/store/narrow_test.go
@@ -13,14 +13,14 @@
 	"pumiceford/store"
 )
 
-// narrowLink is a way to the store over a link that all calls share: each page of
-// newest records takes alone as long as a megabyte over 30 Mbit/s.
+// narrowLink is a client of the store over a link whose bandwidth concurrent calls share.
+// Without other calls, a page of newest records takes as long as 1 MB at 30 Mbit/s.
 type narrowLink struct {
 	store.Client
 
 	mu        sync.Mutex
 	inFlight  int
-	pagesRead int // that came in whole
+	pagesRead int // number of pages received completely
 }
 
 const (
@@ -28,25 +28,26 @@
 	linkStep         = 10 * time.Millisecond
 )
 
-func (n *narrowLink) addInFlight(by int) int {
+// addInFlight changes the number of calls in flight and returns the new number.
+func (n *narrowLink) addInFlight(delta int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.inFlight += by
+	n.inFlight += delta
 	return n.inFlight
 }
 
-// readPages returns how many pages came in whole.
+// readPages returns the number of pages received completely.
 func (n *narrowLink) readPages() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.pagesRead
 }
 
-// Newest takes its share of the link until the page is there.
+// Newest uses its share of the bandwidth until the page is transferred.
 func (n *narrowLink) Newest(ctx context.Context, p store.Partition, after string) (store.Snapshot, error) {
 	n.addInFlight(1)
 	defer n.addInFlight(-1)
-	for left := float64(unsharedPageTime); left > 0; left -= float64(linkStep) / float64(n.addInFlight(0)) {
+	for remaining := float64(unsharedPageTime); remaining > 0; remaining -= float64(linkStep) / float64(n.addInFlight(0)) {
 		select {
 		case <-time.After(linkStep):
 		case <-ctx.Done():
@@ -59,48 +60,48 @@
 	return n.Client.Newest(ctx, p, after)
 }
 
-// Guards against this: items of a partition are left lying after a restart of everything,
-// and their runner, a host with a narrow link, says nothing.
-func TestManyPartitionsAreReadOverANarrowLink(t *testing.T) {
+// Guards against items of a partition that are not run after a restart of the whole system,
+// without an error: on a host with a slow link, all loads time out and start again.
+func TestLoadsManyPartitionsOverSlowLink(t *testing.T) {
 	const partitions = 40
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		link := &narrowLink{Client: sharedstore.New(partitions).For("a")}
-		way := store.NewFailover(link, func() []store.Peer { return []store.Peer{link, link} })
+		client := store.NewFailover(link, func() []store.Peer { return []store.Peer{link, link} })
 		loads := store.NewLoads(2)
-		var all []*store.Follower
+		var followers []*store.Follower
 		for n := range partitions {
-			f := store.NewFollower(way, store.Partition{Topic: "t", Number: n}, &mirror{}, store.FollowSettings{Wait: 2 * time.Second, Loads: loads})
+			f := store.NewFollower(client, store.Partition{Topic: "t", Number: n}, &mirror{}, store.FollowSettings{Wait: 2 * time.Second, Loads: loads})
 			go f.Run(ctx)
-			all = append(all, f)
+			followers = append(followers, f)
 		}
 		time.Sleep(partitions * 2 * unsharedPageTime)
-		for n, f := range all {
+		for n, f := range followers {
 			if !f.Look(func(int64, <-chan struct{}) {}) {
-				t.Errorf("partition %d is not read yet", n)
+				t.Errorf("partition %d is not loaded", n)
 			}
 		}
 		if pages := link.readPages(); pages > partitions+partitions/2 {
-			t.Errorf("%d pages were read for %d partitions", pages, partitions)
+			t.Errorf("read %d pages for %d partitions", pages, partitions)
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// Guards against this: a process that starts reads each partition twice.
-func TestALoadIsShared(t *testing.T) {
+// Guards against a process that reads each partition twice at start.
+func TestConcurrentCallersShareLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		link := &narrowLink{Client: sharedstore.New(1).For("a")}
 		f := store.NewFollower(link, testPartition, &mirror{}, store.FollowSettings{Wait: time.Second})
 		go f.Run(ctx)
 		for range 5 {
-			go func() { _ = f.Catch(ctx, 0) }() // whether it came in time is not asked here
+			go func() { _ = f.Catch(ctx, 0) }() // the call may time out; only the number of pages matters
 		}
 		time.Sleep(3 * time.Second)
 		if pages := link.readPages(); pages != 1 {
-			t.Errorf("%d pages were read", pages)
+			t.Errorf("read %d pages, want 1", pages)
 		}
 		cancel()
 		synctest.Wait()
--- a/store/observed.go
+++ b/store/observed.go
@@ -7,19 +7,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Observed is a Client that tells of each call: its name, its outcome and how
-// long it took.
+// Observed is a Client that reports the name, outcome and duration of each call
+// to a callback.
 type Observed struct {
 	client  Client
 	observe func(call, outcome string, took time.Duration)
 }
 
-// NewObserved returns an Observed.
-func NewObserved(client Client, told func(call, outcome string, took time.Duration)) *Observed {
-	return &Observed{client: client, observe: told}
+// NewObserved returns a Client that forwards calls to client and reports each of them to
+// observe after it returns.
+func NewObserved(client Client, observe func(call, outcome string, took time.Duration)) *Observed {
+	return &Observed{client: client, observe: observe}
 }
 
-// outcome names an error for counters.
+// outcome maps an error to its label in metrics.
 func outcome(err error) string {
 	var conflict *ConflictError
 	var trimmed *TrimmedError
@@ -38,54 +39,54 @@
 	return "no_answer"
 }
 
-func (o *Observed) record(call string, began time.Time, err error) {
-	o.observe(call, outcome(err), time.Since(began))
+func (o *Observed) record(call string, start time.Time, err error) {
+	o.observe(call, outcome(err), time.Since(start))
 }
 
 // Append implements Log.
 func (o *Observed) Append(ctx context.Context, p Partition, recs []Record, at int64) (int64, error) {
-	began := time.Now()
+	start := time.Now()
 	end, err := o.client.Append(ctx, p, recs, at)
-	o.record("append", began, err)
+	o.record("append", start, err)
 	return end, err
 }
 
 // Read implements Log.
 func (o *Observed) Read(ctx context.Context, p Partition, from int64, wait time.Duration) (Page, error) {
-	began := time.Now()
+	start := time.Now()
 	page, err := o.client.Read(ctx, p, from, wait)
-	o.record("read", began, err)
+	o.record("read", start, err)
 	return page, err
 }
 
 // Newest implements Log.
 func (o *Observed) Newest(ctx context.Context, p Partition, after string) (Snapshot, error) {
-	began := time.Now()
+	start := time.Now()
 	snap, err := o.client.Newest(ctx, p, after)
-	o.record("newest", began, err)
+	o.record("newest", start, err)
 	return snap, err
 }
 
 // Join implements Groups.
 func (o *Observed) Join(ctx context.Context, req JoinRequest) (Membership, error) {
-	began := time.Now()
+	start := time.Now()
 	m, err := o.client.Join(ctx, req)
-	o.record("join", began, err)
+	o.record("join", start, err)
 	return m, err
 }
 
 // Leave implements Groups.
 func (o *Observed) Leave(ctx context.Context, group, member string) error {
-	began := time.Now()
+	start := time.Now()
 	err := o.client.Leave(ctx, group, member)
-	o.record("leave", began, err)
+	o.record("leave", start, err)
 	return err
 }
 
 // Owners implements Groups.
 func (o *Observed) Owners(ctx context.Context, group string) ([]Owner, error) {
-	began := time.Now()
+	start := time.Now()
 	owners, err := o.client.Owners(ctx, group)
-	o.record("owners", began, err)
+	o.record("owners", start, err)
 	return owners, err
 }
--- a/store/pace.go
+++ b/store/pace.go
@@ -9,46 +9,48 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of a Pace, in reads a second.
+// Rate limits, in reads per second unless stated otherwise.
 const (
-	// maxReadRate lets a host read two dozen partitions for its callers, each four times a
-	// second: results are told well within the second that callers expect.
+	// maxReadRate lets a host read 24 partitions for its callers, each four times per
+	// second, so that results arrive well within the one second that callers expect.
 	maxReadRate = 100
-	// minReadRate still brings one partition up to date within its caller's half second.
+	// minReadRate still brings one partition up to date within the half second that its
+	// caller waits.
 	minReadRate = 5
-	// readRateGrowth is what is added for each second without a refusal: from least to most
-	// in ten seconds.
+	// readRateGrowth is added to the rate for each second without a refusal, so that the
+	// rate rises from its minimum to its maximum in about ten seconds.
 	readRateGrowth = 10
-	// minBackoffInterval is the least time between two halvings. Reads that were under way
-	// together are refused together, and say the same.
+	// minBackoffInterval is the shortest time between two halvings. Concurrent reads that
+	// are refused together count as one sign of overload.
 	minBackoffInterval = 500 * time.Millisecond
 )
 
-// Pace bounds the reads that a process makes for its callers beside its own duties. The
-// store's rate is shared by all processes and none knows how many they are, so each one
-// halves its own when the store turns it away, and raises it slowly otherwise. After an
-// outage processes that all followed what callers asked for were turned away, and with
-// them those that ran the jobs, for as long as they went on.
+// Pace limits the rate of the reads that a process makes for its callers, apart from the
+// reads it needs itself. All processes share the store's rate and none knows how many they
+// are, so each process halves its own rate when the store refuses a read, and otherwise
+// raises it slowly (additive increase, multiplicative decrease). Without this limit, reads
+// for callers after an outage exceed the store's rate for as long as they continue, and the
+// store also refuses the processes that run the jobs.
 type Pace struct {
 	limiter *rate.Limiter
 
 	mu          sync.Mutex
-	backedOffAt time.Time // when the rate was halved last
-	adjustedAt  time.Time // when the rate was changed last
+	backedOffAt time.Time // time of the last halving
+	adjustedAt  time.Time // time of the last rate change
 }
 
-// NewPace returns a Pace at its highest rate.
+// NewPace returns a limiter that starts at the maximum rate.
 func NewPace() *Pace {
 	return &Pace{limiter: rate.NewLimiter(maxReadRate, maxReadRate/10)}
 }
 
-// Rate returns the reads a second that are let through now.
+// Rate returns the current limit in reads per second.
 func (p *Pace) Rate() float64 {
 	return float64(p.limiter.Limit())
 }
 
-// wait waits for a turn. Without one before ctx ends it fails at once: nothing was
-// asked of the store then.
+// wait blocks until the rate limit permits a read. When that cannot happen before the
+// deadline of ctx, it fails at once with ErrRefused, as no call was made to the store.
 func (p *Pace) wait(ctx context.Context) error {
 	if err := p.limiter.Wait(ctx); err != nil {
 		return errors.Mark(err, ErrRefused)
@@ -56,7 +58,7 @@
 	return nil
 }
 
-// observe takes how a read ended.
+// observe adjusts the rate by the result of a read.
 func (p *Pace) observe(now time.Time, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,17 +73,17 @@
 	case err == nil:
 		limit = min(maxReadRate, limit+readRateGrowth*min(now.Sub(p.adjustedAt), time.Second).Seconds())
 	default:
-		return // no answer says nothing of the store's rate
+		return // a missing answer is no evidence about the store's rate
 	}
 	p.adjustedAt = now
 	p.limiter.SetLimitAt(now, rate.Limit(limit))
 }
 
-// Paced is a Log whose reads keep to a Pace while Urgent says no.
+// Paced is a Log that limits the rate of its reads.
 type Paced struct {
 	Log
 	Pace   *Pace
-	Urgent func() bool
+	Urgent func() bool // reads are not limited while it returns true
 }
 
 // Read implements Log.
@@ -94,15 +96,16 @@
 	return limitReads(ctx, l, func() (Snapshot, error) { return l.Log.Newest(ctx, p, after) })
 }
 
+// limitReads makes a read, after waiting for the rate limit unless the log is exempt from it.
 func limitReads[T any](ctx context.Context, l Paced, read func() (T, error)) (T, error) {
 	if l.Urgent() {
 		return read()
 	}
 	if err := l.Pace.wait(ctx); err != nil {
-		var none T
-		return none, err
+		var zero T
+		return zero, err
 	}
-	got, err := read()
+	result, err := read()
 	l.Pace.observe(time.Now(), err)
-	return got, err
+	return result, err
 }
--- a/store/pace_test.go
+++ b/store/pace_test.go
@@ -12,8 +12,8 @@
 	"pumiceford/store"
 )
 
-// readRepeatedly reads a partition as often as it is let, and returns how many reads the store
-// served and how many it turned away.
+// readRepeatedly reads a partition for the time d without a pause, and returns how many reads
+// were served and how many were refused.
 func readRepeatedly(ctx context.Context, log store.Log, d time.Duration) (served, refused int) {
 	for until := time.Now().Add(d); time.Now().Before(until); {
 		switch _, err := log.Read(ctx, testPartition, 0, 0); {
@@ -26,88 +26,89 @@
 	return served, refused
 }
 
-// Guards against this: a store that turns calls away is asked as often as before, by all,
-// for good.
-func TestAPaceFallsWhileTheStoreTurnsAway(t *testing.T) {
+// Guards against processes that keep their read rate while the store refuses reads, so that
+// the overload never ends.
+func TestReadRateFallsWhileStoreRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
 		s.Put(testPartition, "k", []byte("v"))
-		pace := store.NewPace()
-		log := store.Paced{Log: s.For("a"), Pace: pace, Urgent: func() bool { return false }}
-		calm, refused := readRepeatedly(t.Context(), log, 10*time.Second)
-		if refused != 0 || calm < 500 || calm > 1500 {
-			t.Fatalf("calm: %d served, %d refused in 10 s", calm, refused)
+		limiter := store.NewPace()
+		log := store.Paced{Log: s.For("a"), Pace: limiter, Urgent: func() bool { return false }}
+		normal, refused := readRepeatedly(t.Context(), log, 10*time.Second)
+		if refused != 0 || normal < 500 || normal > 1500 {
+			t.Fatalf("without faults: %d reads served and %d refused in 10 s, want 500 to 1500 and 0", normal, refused)
 		}
 		s.SetFault("a", sharedstore.Refuse)
 		readRepeatedly(t.Context(), log, 5*time.Second)
-		if pace.Rate() > 10 {
-			t.Errorf("%g reads a second after five seconds of refusals", pace.Rate())
+		if limiter.Rate() > 10 {
+			t.Errorf("limit is %g reads/s after 5 s of refusals, want at most 10", limiter.Rate())
 		}
 		_, refused = readRepeatedly(t.Context(), log, 10*time.Second)
-		if refused == 0 || refused > calm/5 {
-			t.Errorf("turned away: %d tries in 10 s, %d when calm", refused, calm)
+		if refused == 0 || refused > normal/5 {
+			t.Errorf("during refusals: %d reads in 10 s, %d without faults", refused, normal)
 		}
 		s.SetFault("a", sharedstore.None)
 		readRepeatedly(t.Context(), log, 15*time.Second)
-		if again, _ := readRepeatedly(t.Context(), log, 10*time.Second); again < calm*9/10 {
-			t.Errorf("calm again: %d served in 10 s, %d before", again, calm)
+		if recovered, _ := readRepeatedly(t.Context(), log, 10*time.Second); recovered < normal*9/10 {
+			t.Errorf("after recovery: %d reads served in 10 s, %d before the fault", recovered, normal)
 		}
 	})
 }
 
-// Guards against this: the process that runs a job cannot read its own partition, since
-// its callers read others. Cause guarded against: one pace for both.
-func TestUrgentReadsAreNotPaced(t *testing.T) {
+// Guards against a process that runs a job but cannot read its own partition because reads
+// for callers have used up a shared rate limit.
+func TestExemptReadsAreNotLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
 		s.Put(testPartition, "k", []byte("v"))
-		pace := store.NewPace()
-		callers := store.Paced{Log: s.For("a"), Pace: pace, Urgent: func() bool { return false }}
-		own := store.Paced{Log: s.For("a"), Pace: pace, Urgent: func() bool { return true }}
+		limiter := store.NewPace()
+		callers := store.Paced{Log: s.For("a"), Pace: limiter, Urgent: func() bool { return false }}
+		own := store.Paced{Log: s.For("a"), Pace: limiter, Urgent: func() bool { return true }}
 		s.SetFault("a", sharedstore.Refuse)
 		readRepeatedly(t.Context(), callers, 5*time.Second)
 		s.SetFault("a", sharedstore.None)
-		began := time.Now()
+		start := time.Now()
 		for range 1000 {
 			if _, err := own.Read(t.Context(), testPartition, 0, 0); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if took := time.Since(began); took > 0 {
-			t.Errorf("a thousand reads waited %s", took)
+		if took := time.Since(start); took > 0 {
+			t.Errorf("1000 exempt reads took %s, want no wait", took)
 		}
 	})
 }
 
-// A caller that cannot have a turn in time is told so at once, and nothing was asked.
-func TestNoTurnInTimeIsToldAtOnce(t *testing.T) {
+// A read that the rate limit cannot permit before its deadline fails at once, without a call
+// to the store.
+func TestReadBeyondDeadlineFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
 		log := store.Paced{Log: s.For("a"), Pace: store.NewPace(), Urgent: func() bool { return false }}
 		s.SetFault("a", sharedstore.Refuse)
 		readRepeatedly(t.Context(), log, 5*time.Second)
-		began, calls := time.Now(), s.Calls()
+		start, calls := time.Now(), s.Calls()
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
 		if _, err := log.Newest(ctx, testPartition, ""); !errors.Is(err, store.ErrRefused) {
-			t.Errorf("got %v", err)
+			t.Errorf("got error %v, want ErrRefused", err)
 		}
-		if took := time.Since(began); took > 0 || s.Calls() != calls {
-			t.Errorf("told after %s and %d calls", took, s.Calls()-calls)
+		if took := time.Since(start); took > 0 || s.Calls() != calls {
+			t.Errorf("failed after %s and %d calls, want at once and none", took, s.Calls()-calls)
 		}
 	})
 }
 
-// Away is said when the direct way and those through peers have failed, not before, and
-// no longer than until one answers.
-func TestAwayMeansNoWay(t *testing.T) {
+// The store counts as unreachable only while both direct calls and calls through peers fail,
+// until one of them succeeds.
+func TestUnreachableOnlyWhenAllBackendsFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
 		f := newFailover(s)
-		read := func() { _, _ = f.Read(t.Context(), testPartition, 0, 0) } // what it shows is in Away
-		for _, step := range []struct {
-			faults map[string]sharedstore.Fault
-			away   bool
+		read := func() { _, _ = f.Read(t.Context(), testPartition, 0, 0) } // only its effect on the state matters
+		for _, tc := range []struct {
+			faults      map[string]sharedstore.Fault
+			unreachable bool
 		}{
 			{map[string]sharedstore.Fault{"a": sharedstore.Refuse}, false},
 			{map[string]sharedstore.Fault{"b": sharedstore.Refuse, "c": sharedstore.Refuse}, true},
@@ -115,14 +116,14 @@
 			{map[string]sharedstore.Fault{"c": sharedstore.Refuse}, true},
 			{map[string]sharedstore.Fault{"a": sharedstore.None}, false},
 		} {
-			for host, fault := range step.faults {
+			for host, fault := range tc.faults {
 				s.SetFault(host, fault)
 			}
 			time.Sleep(2 * time.Second)
 			read()
 			read()
-			if f.Away() != step.away {
-				t.Errorf("after %v: away %t", step.faults, f.Away())
+			if f.Away() != tc.unreachable {
+				t.Errorf("after %v: got unreachable %t", tc.faults, f.Away())
 			}
 		}
 	})
--- a/store/store.go
+++ b/store/store.go
@@ -1,7 +1,8 @@
-// Package store declares the shared store that all processes of a fleet use: a
-// set of partitioned logs of keyed records. The newest record of each key is
-// kept for good, older ones for a while. It also follows partitions, and reaches
-// the store through peers when it refuses this host.
+// Package store declares the client interface of the shared store that all
+// processes of a fleet use: a set of partitioned, compacted logs of keyed
+// records. The store retains the newest record of each key indefinitely and older
+// records for a limited time. The package also replicates partitions to local
+// state and fails over to peers when the store refuses this host.
 package store
 
 import (
@@ -12,14 +13,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Partition names one log.
+// Partition identifies one log.
 type Partition struct {
 	Topic  string
 	Number int
 }
 
-// Spread returns up to count partitions of a topic with so many parts, as far apart as
-// can be: what is kept on each of them is there when some of the parts are away.
+// Spread returns up to count partitions of a topic with the given number of parts, as
+// far apart as possible, so that data copied to each of them stays available while some
+// partitions are unavailable.
 func Spread(topic string, parts, count int) []Partition {
 	var out []Partition
 	for i := range min(count, parts) {
@@ -28,112 +30,115 @@
 	return out
 }
 
-// Record is one keyed record. An empty Value drops the key.
+// Record is one keyed record. An empty Value is a tombstone that deletes the key.
 type Record struct {
 	Key    string
 	Value  []byte
-	Offset int64 // position in its partition, from 0; ignored on append
+	Offset int64 // position in its partition, from 0; Append ignores it
 }
 
-// AnyEnd as the end of an Append says that it does not matter where the
-// partition ends.
+// AnyEnd as the expected end of an Append makes the append unconditional.
 const AnyEnd int64 = -1
 
-// Page is the answer to a Read.
+// Page is the result of a Read.
 type Page struct {
 	Records []Record
-	First   int64 // lowest offset still kept
-	End     int64 // offset that the next record will get
+	First   int64 // lowest retained offset
+	End     int64 // offset of the next record to be appended
 }
 
-// Snapshot is one page of the newest records of a partition, by key.
+// Snapshot is one page of the newest records of a partition, ordered by key.
 type Snapshot struct {
 	Records []Record
-	More    bool // ask again after the last key
+	More    bool // further keys follow the last one of this page
 	End     int64
 }
 
-// Membership is a member's part in a group.
+// Membership is the assignment of a member in a group.
 type Membership struct {
 	Generation uint64
 	Partitions []Partition // proposed to this member
 }
 
-// Owner is a partition with the member that it is proposed to.
+// Owner is a partition and the member that the group proposes it to.
 type Owner struct {
 	Partition Partition
 	Member    string
 }
 
-// JoinRequest keeps a member in a group.
+// JoinRequest joins a group or renews a membership.
 type JoinRequest struct {
 	Group      string
 	Member     string
 	Topics     []string
-	TTL        time.Duration // after this long without a call the member is out
-	Generation uint64        // last one received, 0 at first
+	TTL        time.Duration // the membership expires after this long without a call
+	Generation uint64        // last generation received, 0 in the first request
 }
 
-// Log is the part of the store that holds records.
+// Log is the part of the store that stores records.
 type Log interface {
-	// Append adds records, all or none, and returns the partition's new end.
-	// Unless at is AnyEnd it is carried out only when the partition ends there,
-	// and fails with a ConflictError otherwise. After ErrUnavailable it may have
-	// been carried out, or may be later; after ErrRefused and ErrFull it never is.
+	// Append adds all records atomically and returns the partition's new end offset.
+	// Unless at is AnyEnd, the append is conditional: it fails with a ConflictError
+	// when the partition does not end at that offset. After ErrUnavailable the append
+	// may have been applied or may still be applied later; after ErrRefused and
+	// ErrFull it has not been and will not be.
 	Append(ctx context.Context, p Partition, recs []Record, at int64) (int64, error)
-	// Read returns records from an offset on. With none there it waits up to
-	// wait for a first. It fails with a TrimmedError when they are gone.
+	// Read returns records starting at offset from. When there are none yet, it waits
+	// up to wait for the first one. It fails with a TrimmedError when records at that
+	// offset are no longer retained.
 	Read(ctx context.Context, p Partition, from int64, wait time.Duration) (Page, error)
-	// Newest returns the newest records of the keys after one, "" for all.
+	// Newest returns the newest record of each key greater than after, or of all keys
+	// when after is "". It returns one page of them.
 	Newest(ctx context.Context, p Partition, after string) (Snapshot, error)
 }
 
-// Groups is the part of the store that shares partitions out among members. It
-// only proposes: two members may hold the same partition for a while.
+// Groups is the part of the store that assigns partitions to the members of a group.
+// Assignments are only proposals: two members may hold the same partition for a while.
 type Groups interface {
 	Join(ctx context.Context, req JoinRequest) (Membership, error)
 	Leave(ctx context.Context, group, member string) error
 	Owners(ctx context.Context, group string) ([]Owner, error)
 }
 
-// Client is the whole store.
+// Client is the complete interface of the store.
 type Client interface {
 	Log
 	Groups
 }
 
-// ErrUnavailable says that a call got no answer. It may have been carried out.
-var ErrUnavailable = errors.New("shared store gave no answer")
+// ErrUnavailable reports that a call got no answer. It may have been applied.
+var ErrUnavailable = errors.New("shared store did not answer")
 
-// ErrRefused says that the store turned a call away. Nothing was done.
+// ErrRefused reports that the store rejected a call without applying it.
 var ErrRefused = errors.New("shared store refused the call")
 
-// ErrFull says that the store has no room left. Nothing was done.
+// ErrFull reports that the store has no space left and did not apply the call.
 var ErrFull = errors.New("shared store is full")
 
-// ConflictError says that a partition does not end where an append required.
+// ConflictError reports that a partition does not end at the offset that an append
+// expected.
 type ConflictError struct {
-	End int64 // where it ends, -1 when not told
+	End int64 // actual end offset, -1 when the store did not report it
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("partition ends at %d", e.End)
+	return fmt.Sprintf("append conflict: partition ends at offset %d", e.End)
 }
 
-// TrimmedError says that the records asked for are gone.
+// TrimmedError reports that the requested records are no longer retained.
 type TrimmedError struct {
-	First int64 // lowest offset still kept
+	First int64 // lowest retained offset
 }
 
 // Error implements error.
 func (e *TrimmedError) Error() string {
-	return fmt.Sprintf("records before %d are gone", e.First)
+	return fmt.Sprintf("records before offset %d are trimmed", e.First)
 }
 
-// NewestAll reads the newest records of a whole partition. Its End is that of
-// the first page: pages are no snapshot, so records from there on have to be
-// read as well.
+// NewestAll reads all pages of the newest records of a partition. The End of the
+// result is that of the first page: the pages are not a consistent snapshot, so the
+// caller must also read the records from that offset on.
 func NewestAll(ctx context.Context, l Log, p Partition) (Snapshot, error) {
 	all, err := l.Newest(ctx, p, "")
 	if err != nil {
--- a/store/wire.go
+++ b/store/wire.go
@@ -2,7 +2,7 @@
 
 import "pumiceford/wire"
 
-// ToWire encodes records for a peer or a copy.
+// ToWire encodes records for the wire and for stored copies.
 func ToWire(recs []Record) []*wire.StoreRecord {
 	out := make([]*wire.StoreRecord, 0, len(recs))
 	for _, r := range recs {
@@ -11,7 +11,7 @@
 	return out
 }
 
-// FromWire decodes what ToWire encoded.
+// FromWire decodes records encoded by ToWire.
 func FromWire(recs []*wire.StoreRecord) []Record {
 	out := make([]Record, 0, len(recs))
 	for _, r := range recs {
