--- a/peers/grants.go
+++ b/peers/grants.go
@@ -10,22 +10,23 @@
 	"pumiceford/wire"
 )
 
-// Bounds of sessions for grants.
+// Timeouts and intervals of sessions for grants.
 const (
 	// grantIdleTimeout is how long a session is kept after its last use.
 	grantIdleTimeout = 20 * time.Second
-	// grantHeartbeat is the interval of heartbeats on these sessions, idle or not: the longest that
-	// the other side waits for. Each question has a bound of its own, so a silent session need
-	// not be found sooner.
+	// grantHeartbeat is the heartbeat interval of these sessions, whether idle or in use. It is
+	// the longest interval that the other side accepts. Each request has its own timeout, so
+	// an unresponsive session need not be detected sooner.
 	grantHeartbeat = link.DefaultIdleEvery
-	// unansweredTimeout is how long a session may give no answer before another one is opened. A
-	// host that is slow for a moment must not open one for each late answer, which would keep
-	// it slow.
+	// unansweredTimeout is how long a session may leave requests unanswered before it is
+	// replaced. Replacing it after each late answer would keep a temporarily slow host
+	// slow, since it would spend its time on opening sessions.
 	unansweredTimeout = 1500 * time.Millisecond
 )
 
-// Grants puts questions about rate limits to other processes over sessions that are kept
-// while they are in use. It implements ratelimit.Asker.
+// Grants requests rate-limit grants from other processes. It keeps one session per process
+// open while the session is in use. It implements ratelimit.Asker and is safe for concurrent
+// use.
 type Grants struct {
 	cfg link.Config
 
@@ -34,25 +35,26 @@
 	sweptAt  time.Time
 }
 
+// grantSession is a session with one process.
 type grantSession struct {
 	peer     *link.Peer
 	lastUsed time.Time
-	// silent is when the first question was put that has no answer, of those since the last
-	// answer; zero for none.
+	// unansweredSince is the start of the first unanswered request after the last answer, zero
+	// if there is none.
 	unansweredSince time.Time
 }
 
-// NewGrants returns Grants.
+// NewGrants returns a client without open sessions. It overrides the heartbeat intervals of cfg.
 func NewGrants(cfg link.Config) *Grants {
 	cfg.IdleEvery, cfg.HeartbeatEvery = grantHeartbeat, grantHeartbeat
 	return &Grants{cfg: cfg, sessions: make(map[string]*grantSession)}
 }
 
 // Ask implements ratelimit.Asker.
-func (g *Grants) Ask(ctx context.Context, addr string, a ratelimit.Ask) ratelimit.Reply {
+func (g *Grants) Ask(ctx context.Context, addr string, req ratelimit.Ask) ratelimit.Reply {
 	r, err := g.call(ctx, addr, &wire.GrantAsk{
-		Workspace: a.Limit.Workspace, Version: a.Limit.Version, Rate: a.Limit.Rate, Burst: a.Limit.Burst,
-		Share: uint32(a.Share), Want: uint32(a.Want), Unused: uint32(a.Unused),
+		Workspace: req.Limit.Workspace, Version: req.Limit.Version, Rate: req.Limit.Rate, Burst: req.Limit.Burst,
+		Share: uint32(req.Share), Want: uint32(req.Want), Unused: uint32(req.Unused),
 	})
 	if err != nil {
 		return ratelimit.Reply{Outcome: ratelimit.Unanswered}
@@ -68,38 +70,40 @@
 	return out
 }
 
-// Acts asks a process whether it acts for a shard.
+// Acts asks the process at addr whether it acts for a shard. answered is false when the
+// process gives no answer.
 func (g *Grants) Acts(ctx context.Context, addr string, shard int) (acts, answered bool) {
 	r, err := g.call(ctx, addr, &wire.GrantAsk{Shard: uint32(shard)})
 	return err == nil && r.GetOutcome() == wire.GrantReply_GRANTED, err == nil
 }
 
-// call puts a question.
-func (g *Grants) call(ctx context.Context, addr string, ask *wire.GrantAsk) (*wire.GrantReply, error) {
-	asked := time.Now()
-	l := g.session(addr)
+// call sends one request over the session with addr.
+func (g *Grants) call(ctx context.Context, addr string, req *wire.GrantAsk) (*wire.GrantReply, error) {
+	start := time.Now()
+	s := g.session(addr)
 	r := &wire.GrantReply{}
-	err := l.peer.Call(ctx, link.Control, &wire.Call{Kind: &wire.Call_Grant{Grant: ask}}, r)
-	g.recordResult(addr, l, asked, err == nil)
+	err := s.peer.Call(ctx, link.Control, &wire.Call{Kind: &wire.Call_Grant{Grant: req}}, r)
+	g.recordResult(addr, s, start, err == nil)
 	return r, err
 }
 
-// recordResult notes whether a question was answered, and closes a session that has given no answer
-// for too long.
-func (g *Grants) recordResult(addr string, l *grantSession, asked time.Time, answered bool) {
+// recordResult records whether a request was answered, and closes a session that has left
+// requests unanswered for unansweredTimeout.
+func (g *Grants) recordResult(addr string, s *grantSession, start time.Time, answered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
 	case answered:
-		l.unansweredSince = time.Time{}
-	case l.unansweredSince.IsZero():
-		l.unansweredSince = asked
-	case g.sessions[addr] == l && time.Since(l.unansweredSince) >= unansweredTimeout:
-		l.peer.Close()
+		s.unansweredSince = time.Time{}
+	case s.unansweredSince.IsZero():
+		s.unansweredSince = start
+	case g.sessions[addr] == s && time.Since(s.unansweredSince) >= unansweredTimeout:
+		s.peer.Close()
 		delete(g.sessions, addr)
 	}
 }
 
+// session returns the session with addr, creating it when there is none.
 func (g *Grants) session(addr string) *grantSession {
 	now := time.Now()
 	g.mu.Lock()
@@ -107,21 +111,21 @@
 	if now.Sub(g.sweptAt) > grantIdleTimeout {
 		g.sweep(now)
 	}
-	l := g.sessions[addr]
-	if l == nil {
-		l = &grantSession{peer: link.NewPeer(g.cfg, addr)}
-		g.sessions[addr] = l
+	s := g.sessions[addr]
+	if s == nil {
+		s = &grantSession{peer: link.NewPeer(g.cfg, addr)}
+		g.sessions[addr] = s
 	}
-	l.lastUsed = now
-	return l
+	s.lastUsed = now
+	return s
 }
 
-// sweep closes the sessions that are not used any more. g.mu is held.
+// sweep closes the sessions that have been idle for grantIdleTimeout. g.mu is held.
 func (g *Grants) sweep(now time.Time) {
 	g.sweptAt = now
-	for addr, l := range g.sessions {
-		if now.Sub(l.lastUsed) > grantIdleTimeout {
-			l.peer.Close()
+	for addr, s := range g.sessions {
+		if now.Sub(s.lastUsed) > grantIdleTimeout {
+			s.peer.Close()
 			delete(g.sessions, addr)
 		}
 	}
@@ -131,28 +135,29 @@
 func (g *Grants) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for addr, l := range g.sessions {
-		l.peer.Close()
+	for addr, s := range g.sessions {
+		s.peer.Close()
 		delete(g.sessions, addr)
 	}
 }
 
-// Granter answers questions about rate limits.
+// Granter decides on requests for rate-limit grants.
 type Granter interface {
-	Grant(a ratelimit.Ask) ratelimit.Reply
+	Grant(req ratelimit.Ask) ratelimit.Reply
 }
 
-// grant answers a question about a rate limit.
-func (s *Server) grant(ask *wire.GrantAsk) *wire.GrantReply {
-	if ask.GetWorkspace() == "" {
-		if _, ok := s.Acting(int(ask.GetShard())); ok {
+// grant answers a request for a rate-limit grant or, if it names no workspace, a query
+// whether this process acts for a shard.
+func (s *Server) grant(req *wire.GrantAsk) *wire.GrantReply {
+	if req.GetWorkspace() == "" {
+		if _, ok := s.Acting(int(req.GetShard())); ok {
 			return &wire.GrantReply{Outcome: wire.GrantReply_GRANTED}
 		}
 		return &wire.GrantReply{Outcome: wire.GrantReply_NOT_ACTING}
 	}
 	r := s.Granter.Grant(ratelimit.Ask{
-		Limit: ratelimit.Limit{Workspace: ask.GetWorkspace(), Version: ask.GetVersion(), Rate: ask.GetRate(), Burst: ask.GetBurst()},
-		Share: int(ask.GetShare()), Want: int(ask.GetWant()), Unused: int(ask.GetUnused()),
+		Limit: ratelimit.Limit{Workspace: req.GetWorkspace(), Version: req.GetVersion(), Rate: req.GetRate(), Burst: req.GetBurst()},
+		Share: int(req.GetShare()), Want: int(req.GetWant()), Unused: int(req.GetUnused()),
 	})
 	out := &wire.GrantReply{Outcome: wire.GrantReply_NOT_ACTING, Granted: uint32(r.Granted), AgainMs: uint32(r.Again.Milliseconds())}
 	switch r.Outcome {
--- a/peers/grants_test.go
+++ b/peers/grants_test.go
@@ -14,22 +14,22 @@
 	"pumiceford/ratelimit"
 )
 
-// slowGranter is a process that grants whatever it is asked for, after a while.
+// slowGranter grants each request in full after a delay.
 type slowGranter struct {
 	delay time.Duration
 }
 
 // Grant implements peers.Granter.
-func (g slowGranter) Grant(a ratelimit.Ask) ratelimit.Reply {
+func (g slowGranter) Grant(req ratelimit.Ask) ratelimit.Reply {
 	time.Sleep(g.delay)
-	return ratelimit.Reply{Outcome: ratelimit.Granted, Granted: a.Want}
+	return ratelimit.Reply{Outcome: ratelimit.Granted, Granted: req.Want}
 }
 
-// askRepeatedly plays questions to a process that takes so long for each, and returns how many
-// were answered, and how many sessions and messages they took.
-func askRepeatedly(t *testing.T, takes time.Duration, questions int, every time.Duration) (answered, dials, writes int) {
+// askRepeatedly sends requests at an interval to a process that takes delay for each. It
+// returns the number of answered requests, of sessions opened and of writes to them.
+func askRepeatedly(t *testing.T, delay time.Duration, requests int, interval time.Duration) (answered, dials, writes int) {
 	t.Helper()
-	runtime.GC() // as in bubble
+	runtime.GC() // as in withPeerPair
 	runtime.GC()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -37,7 +37,7 @@
 			cancel()
 			time.Sleep(time.Minute)
 		}()
-		server := &peers.Server{Granter: slowGranter{takes}}
+		server := &peers.Server{Granter: slowGranter{delay}}
 		var written atomic.Int64
 		g := peers.NewGrants(link.Config{Dial: func(context.Context, string) (net.Conn, error) {
 			dials++
@@ -46,25 +46,25 @@
 			return countingConn{near, &written}, nil
 		}})
 		defer g.Close()
-		for i := range questions {
-			one, stop := context.WithTimeout(ctx, 80*time.Millisecond)
-			r := g.Ask(one, "there", ratelimit.Ask{Limit: ratelimit.Limit{Workspace: "w", Rate: 5}, Want: 1})
+		for i := range requests {
+			callCtx, stop := context.WithTimeout(ctx, 80*time.Millisecond)
+			r := g.Ask(callCtx, "there", ratelimit.Ask{Limit: ratelimit.Limit{Workspace: "w", Rate: 5}, Want: 1})
 			stop()
 			if r.Outcome == ratelimit.Granted {
 				answered++
 			}
-			if i == questions-1 {
-				// Before the sleep, whose end may coincide with a heartbeat.
+			if i == requests-1 {
+				// Count the writes before the sleep, as its end may coincide with a heartbeat.
 				synctest.Wait()
 				writes = int(written.Load())
 			}
-			time.Sleep(every)
+			time.Sleep(interval)
 		}
 	})
 	return answered, dials, writes
 }
 
-// countingConn counts what is written to a connection.
+// countingConn counts the writes to a connection.
 type countingConn struct {
 	net.Conn
 	writes *atomic.Int64
@@ -75,41 +75,40 @@
 	return c.Conn.Write(p)
 }
 
-// Guards against a session that is opened anew every few seconds although questions go over
-// it all the while.
-func TestASessionForGrantsLasts(t *testing.T) {
-	const questions = 40
-	answered, dials, _ := askRepeatedly(t, 0, questions, 6*time.Second)
-	if answered != questions || dials != 1 {
-		t.Errorf("%d of %d answered over %d sessions", answered, questions, dials)
+// Guards against a session that is reopened every few seconds although it is in regular use.
+func TestGrantSessionStaysOpenWhileUsed(t *testing.T) {
+	const requests = 40
+	answered, dials, _ := askRepeatedly(t, 0, requests, 6*time.Second)
+	if answered != requests || dials != 1 {
+		t.Errorf("%d of %d requests answered over %d sessions, want all over 1", answered, requests, dials)
 	}
 }
 
-// Guards against a host that is slow for a moment and then spends all of its time on opening
-// sessions, because each late answer has cost it one.
-func TestLateAnswersCostFewSessions(t *testing.T) {
-	const questions, each = 40, 100 * time.Millisecond
-	const most = 1 + questions*each/(1500*time.Millisecond)
-	if _, dials, _ := askRepeatedly(t, 150*time.Millisecond, questions, 20*time.Millisecond); dials > int(most) {
-		t.Errorf("%d sessions for %d late answers", dials, questions)
+// Guards against a temporarily slow host that spends all its time on opening sessions because
+// each late answer causes a new one.
+func TestLateAnswersOpenFewSessions(t *testing.T) {
+	const requests, minInterval = 40, 100 * time.Millisecond
+	const maxSessions = 1 + requests*minInterval/(1500*time.Millisecond)
+	if _, dials, _ := askRepeatedly(t, 150*time.Millisecond, requests, 20*time.Millisecond); dials > int(maxSessions) {
+		t.Errorf("opened %d sessions for %d late answers", dials, requests)
 	}
 }
 
-// Guards against questions that each bring a heartbeat with them.
-func TestAQuestionBringsNoHeartbeat(t *testing.T) {
-	const questions = 100
-	_, _, few := askRepeatedly(t, 0, 1, time.Second)
-	_, _, many := askRepeatedly(t, 0, questions, time.Second)
-	const perQuestion = 4 + 1 // of the stream: begin, question in two, end; and a heartbeat in two each two seconds
-	if each := float64(many-few) / (questions - 1); each > perQuestion {
-		t.Errorf("%.1f writes a question", each)
+// Guards against a heartbeat with each request.
+func TestGrantRequestSendsNoHeartbeat(t *testing.T) {
+	const requests = 100
+	_, _, writesOfOne := askRepeatedly(t, 0, 1, time.Second)
+	_, _, writesOfAll := askRepeatedly(t, 0, requests, time.Second)
+	const maxPerRequest = 4 + 1 // stream open, two request writes, stream close; two writes for a heartbeat every 2 s
+	if perRequest := float64(writesOfAll-writesOfOne) / (requests - 1); perRequest > maxPerRequest {
+		t.Errorf("%.1f writes per request", perRequest)
 	}
 }
 
-// Guards against questions that go unanswered for as long as a connection is silent, where a
-// new one works.
-func TestASilentSessionForGrantsIsReplaced(t *testing.T) {
-	runtime.GC() // as in bubble
+// Guards against requests that stay unanswered as long as a connection is unresponsive although
+// a new connection would work.
+func TestUnresponsiveGrantSessionIsReplaced(t *testing.T) {
+	runtime.GC() // as in withPeerPair
 	runtime.GC()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -118,44 +117,44 @@
 			time.Sleep(time.Minute)
 		}()
 		server := &peers.Server{Granter: slowGranter{}}
-		var silent *atomic.Bool // of the newest connection
+		var dropping *atomic.Bool // of the newest connection
 		g := peers.NewGrants(link.Config{Dial: func(context.Context, string) (net.Conn, error) {
 			near, far := net.Pipe()
-			silent = &atomic.Bool{}
+			dropping = &atomic.Bool{}
 			go link.ServeConn(ctx, far, link.Config{Handle: server.Handle})
-			return droppingConn{near, silent}, nil
+			return droppingConn{near, dropping}, nil
 		}})
 		defer g.Close()
 		ask := func() bool {
-			one, stop := context.WithTimeout(ctx, 80*time.Millisecond)
+			callCtx, stop := context.WithTimeout(ctx, 80*time.Millisecond)
 			defer stop()
-			return g.Ask(one, "there", ratelimit.Ask{Limit: ratelimit.Limit{Workspace: "w", Rate: 5}, Want: 1}).Outcome == ratelimit.Granted
+			return g.Ask(callCtx, "there", ratelimit.Ask{Limit: ratelimit.Limit{Workspace: "w", Rate: 5}, Want: 1}).Outcome == ratelimit.Granted
 		}
 		if !ask() {
-			t.Fatal("no answer on a sound connection")
+			t.Fatal("no answer on a working connection")
 		}
 		synctest.Wait()
-		silent.Store(true)
-		began := time.Now()
-		const within = 2 * time.Second
+		dropping.Store(true)
+		start := time.Now()
+		const maxRecovery = 2 * time.Second
 		for !ask() {
-			if time.Since(began) > within {
-				t.Fatalf("no answer %s after the connection fell silent", time.Since(began))
+			if time.Since(start) > maxRecovery {
+				t.Fatalf("no answer %s after the connection stopped delivering", time.Since(start))
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 	})
 }
 
-// droppingConn loses what is written to a connection once it is silent.
+// droppingConn discards writes to a connection while dropping is set.
 type droppingConn struct {
 	net.Conn
 	dropping *atomic.Bool
 }
 
-func (m droppingConn) Write(p []byte) (int, error) {
-	if m.dropping.Load() {
+func (c droppingConn) Write(p []byte) (int, error) {
+	if c.dropping.Load() {
 		return len(p), nil
 	}
-	return m.Conn.Write(p)
+	return c.Conn.Write(p)
 }
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -1,6 +1,6 @@
-// Package peers lets entries help each other: one makes calls to the shared
-// store for another that the store refuses, and tells it the newest catalog and
-// targets when it knows none.
+// Package peers implements the calls between entries. An entry makes calls to the
+// shared store for another entry that the store refuses, serves its catalog and targets
+// to entries that have none, and handles calls about jobs and rate-limit grants.
 package peers
 
 import (
@@ -18,38 +18,38 @@
 	"pumiceford/wire"
 )
 
-// Server answers the calls of peers. It calls the store directly only, so that
-// two entries which are both refused do not ask each other in a circle.
+// Server handles the calls of peers. It calls the store only directly, so that two
+// entries that the store refuses do not forward calls to each other in a loop.
 type Server struct {
 	Store store.Client
 	View  *fleet.View
 	Jobs  JobServer
-	// Granter grants requests of the shards that this process acts for.
+	// Granter decides on requests for grants in shards that this process acts for.
 	Granter Granter
-	// Acting returns since when this process has been acting for a shard, and false while
-	// it is not.
+	// Acting returns the time since which this process has acted for a shard, or false
+	// while it does not act for it.
 	Acting func(shard int) (since time.Duration, ok bool)
 }
 
-// JobServer carries calls about jobs out.
+// JobServer executes calls about jobs.
 type JobServer interface {
 	Serve(ctx context.Context, call *wire.JobCall) *wire.JobReply
 }
 
-// Handle serves one stream; it is a link.Handler.
+// Handle serves one call on a stream. It is a link.Handler.
 func (s *Server) Handle(ctx context.Context, _ link.Class, call *wire.Call, st *link.Stream) {
 	switch {
 	case call.GetStore() != nil:
 		c := call.GetStore()
 		ctx, cancel := context.WithTimeout(ctx, time.Duration(c.GetTimeoutMs())*time.Millisecond)
 		defer cancel()
-		// A peer that left does not read the reply.
+		// A send fails only if the peer has disconnected.
 		_ = st.Send(s.call(ctx, c))
 	case call.GetJob() != nil:
-		// A peer that left does not read the reply.
+		// A send fails only if the peer has disconnected.
 		_ = st.Send(s.Jobs.Serve(ctx, call.GetJob()))
 	case call.GetGrant() != nil:
-		// An asker that left does not read the reply.
+		// A send fails only if the peer has disconnected.
 		_ = st.Send(s.grant(call.GetGrant()))
 	case call.GetCatalog() != nil:
 		raw, recs := s.View.Export()
@@ -57,6 +57,7 @@
 	}
 }
 
+// call makes a call to the store for a peer.
 func (s *Server) call(ctx context.Context, c *wire.StoreCall) *wire.StoreReply {
 	switch k := c.GetKind().(type) {
 	case *wire.StoreCall_Append:
@@ -83,7 +84,7 @@
 	return &wire.StoreReply{Outcome: wire.StoreReply_REFUSED}
 }
 
-// encodeReply encodes an error, or returns ok when there is none.
+// encodeReply encodes err, or returns ok when err is nil.
 func encodeReply(err error, ok *wire.StoreReply) *wire.StoreReply {
 	var conflict *store.ConflictError
 	var trimmed *store.TrimmedError
@@ -102,7 +103,7 @@
 	return &wire.StoreReply{Outcome: wire.StoreReply_UNKNOWN}
 }
 
-// decodeError decodes what reply encoded.
+// decodeError decodes the error that encodeReply encoded.
 func decodeError(r *wire.StoreReply) error {
 	switch r.GetOutcome() {
 	case wire.StoreReply_OK:
@@ -128,21 +129,23 @@
 	return &wire.StorePartition{Topic: p.Topic, Number: uint32(p.Number)}
 }
 
-// PeerStore is the way to the store through one peer. It implements store.Peer.
+// PeerStore calls the store through one peer. It implements store.Peer.
 type PeerStore struct {
 	peer *link.Peer
 }
 
-func (w PeerStore) call(ctx context.Context, c *wire.StoreCall) (*wire.StoreReply, error) {
-	if dl, ok := ctx.Deadline(); ok {
-		c.TimeoutMs = uint32(max(time.Until(dl).Milliseconds(), 0))
+// call makes one call to the peer. It marks errors with store.ErrRefused or
+// store.ErrUnavailable.
+func (s PeerStore) call(ctx context.Context, c *wire.StoreCall) (*wire.StoreReply, error) {
+	if deadline, ok := ctx.Deadline(); ok {
+		c.TimeoutMs = uint32(max(time.Until(deadline).Milliseconds(), 0))
 	}
 	r := &wire.StoreReply{}
-	err := w.peer.Call(ctx, link.Control, &wire.Call{Kind: &wire.Call_Store{Store: c}}, r)
-	var dial *link.DialError
+	err := s.peer.Call(ctx, link.Control, &wire.Call{Kind: &wire.Call_Store{Store: c}}, r)
+	var dialErr *link.DialError
 	switch {
-	case errors.As(err, &dial):
-		return nil, errors.Mark(err, store.ErrRefused) // it was never sent
+	case errors.As(err, &dialErr):
+		return nil, errors.Mark(err, store.ErrRefused) // the call was not sent
 	case err != nil:
 		return nil, errors.Mark(err, store.ErrUnavailable)
 	}
@@ -150,32 +153,32 @@
 }
 
 // Append implements store.Log.
-func (w PeerStore) Append(ctx context.Context, p store.Partition, recs []store.Record, at int64) (int64, error) {
-	r, err := w.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Append{Append: &wire.StoreAppend{
+func (s PeerStore) Append(ctx context.Context, p store.Partition, recs []store.Record, at int64) (int64, error) {
+	r, err := s.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Append{Append: &wire.StoreAppend{
 		Partition: toWirePartition(p), Records: store.ToWire(recs), At: at,
 	}}})
 	return r.GetEnd(), err
 }
 
 // Read implements store.Log.
-func (w PeerStore) Read(ctx context.Context, p store.Partition, from int64, wait time.Duration) (store.Page, error) {
-	r, err := w.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Read{Read: &wire.StoreRead{
+func (s PeerStore) Read(ctx context.Context, p store.Partition, from int64, wait time.Duration) (store.Page, error) {
+	r, err := s.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Read{Read: &wire.StoreRead{
 		Partition: toWirePartition(p), From: from, WaitMs: uint32(wait.Milliseconds()),
 	}}})
 	return store.Page{Records: store.FromWire(r.GetRecords()), First: r.GetFirst(), End: r.GetEnd()}, err
 }
 
 // Newest implements store.Log.
-func (w PeerStore) Newest(ctx context.Context, p store.Partition, after string) (store.Snapshot, error) {
-	r, err := w.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Newest{Newest: &wire.StoreNewest{
+func (s PeerStore) Newest(ctx context.Context, p store.Partition, after string) (store.Snapshot, error) {
+	r, err := s.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Newest{Newest: &wire.StoreNewest{
 		Partition: toWirePartition(p), After: after,
 	}}})
 	return store.Snapshot{Records: store.FromWire(r.GetRecords()), More: r.GetMore(), End: r.GetEnd()}, err
 }
 
 // Join implements store.Joiner.
-func (w PeerStore) Join(ctx context.Context, req store.JoinRequest) (store.Membership, error) {
-	r, err := w.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Join{Join: &wire.StoreJoin{
+func (s PeerStore) Join(ctx context.Context, req store.JoinRequest) (store.Membership, error) {
+	r, err := s.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Join{Join: &wire.StoreJoin{
 		Group: req.Group, Member: req.Member, Topics: req.Topics,
 		TtlMs: uint32(req.TTL.Milliseconds()), Generation: req.Generation,
 	}}})
@@ -186,24 +189,24 @@
 	return m, err
 }
 
-// Caller makes calls about jobs at any entry, each over a session of its own: an entry
-// asks each of the others some times a minute, and sessions that were kept would cost
-// more heartbeats than calls.
+// Caller makes calls about jobs to other entries. It opens a new session for each call: an
+// entry calls each other entry only a few times per minute, so persistent sessions would
+// cost more heartbeats than calls.
 type Caller struct {
 	cfg link.Config
 }
 
-// jobDialTimeout bounds connecting, which takes one round trip.
+// jobDialTimeout bounds opening a connection, which takes one round trip.
 const jobDialTimeout = 250 * time.Millisecond
 
-// NewCaller returns a Caller.
+// NewCaller returns a client that dials with jobDialTimeout.
 func NewCaller(cfg link.Config) *Caller {
 	cfg.DialTimeout = jobDialTimeout
 	return &Caller{cfg: cfg}
 }
 
-// Call carries a call out at an address. It fails with a link.DialError when it was
-// never sent.
+// Call makes a call to the entry at addr. It fails with a link.DialError when the call was
+// not sent.
 func (c *Caller) Call(ctx context.Context, addr string, call *wire.JobCall) (*wire.JobReply, error) {
 	peer := link.NewPeer(c.cfg, addr)
 	defer peer.Close()
@@ -214,52 +217,53 @@
 	return reply, nil
 }
 
-// maxPeers bounds the peers that an entry keeps in mind: enough for one to be
-// served by the store when a third of all hosts is not.
+// maxPeers bounds the peers of an entry. It is enough that the store very likely serves
+// at least one of them while it refuses a third of all hosts.
 const maxPeers = 4
 
-// Ring keeps the links to the peers of one entry.
+// Ring keeps the sessions with the peers of one entry. It is safe for concurrent use.
 type Ring struct {
 	self string // address of this entry
 	cfg  link.Config
 
 	mu         sync.Mutex
 	connByAddr map[string]*link.Peer
-	order      []string
+	order      []string // addresses of the peers, in rotating order
 }
 
-// NewRing returns a Ring that knows the seeds.
+// NewRing returns a Ring that starts with the seeds as peers.
 func NewRing(self string, cfg link.Config, seeds []string) *Ring {
 	r := &Ring{self: self, cfg: cfg, connByAddr: make(map[string]*link.Peer)}
 	r.Set(seeds)
 	return r
 }
 
-// Set replaces the known peers. Each entry keeps others in mind, so that one
-// that dies is not the way of all.
+// Set replaces the known peers. Entries select different peers, so that the failure of one
+// peer does not affect all entries. The known peers stay if addrs contains no other
+// entry.
 func (r *Ring) Set(addrs []string) {
-	var others []string
+	var candidates []string
 	for _, a := range addrs {
-		if a != r.self && a != "" && !slices.Contains(others, a) {
-			others = append(others, a)
+		if a != r.self && a != "" && !slices.Contains(candidates, a) {
+			candidates = append(candidates, a)
 		}
 	}
-	if len(others) == 0 {
-		return // who was known stays
+	if len(candidates) == 0 {
+		return
 	}
-	keep := routing.Top(others, routing.Score(r.self, 1), maxPeers)
+	selected := routing.Top(candidates, routing.Score(r.self, 1), maxPeers)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.order = keep
+	r.order = selected
 	for addr, p := range r.connByAddr {
-		if !slices.Contains(keep, addr) {
+		if !slices.Contains(selected, addr) {
 			p.Close()
 			delete(r.connByAddr, addr)
 		}
 	}
 }
 
-// Close closes the links to all peers.
+// Close closes the sessions with all peers.
 func (r *Ring) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -269,7 +273,7 @@
 	}
 }
 
-// connections returns the links, dialled when first used.
+// connections returns the sessions with all peers, each of which dials on its first call.
 func (r *Ring) connections() []*link.Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -283,8 +287,8 @@
 	return out
 }
 
-// Ways returns the ways to the store through the peers, another one first each
-// time.
+// Ways returns clients of the store through the peers. It rotates their order on each
+// call.
 func (r *Ring) Ways() []store.Peer {
 	var out []store.Peer
 	for _, p := range r.connections() {
@@ -298,15 +302,16 @@
 	return out
 }
 
-// fetchTimeout bounds one question for a catalog.
+// fetchTimeout bounds one request for a catalog.
 const fetchTimeout = 500 * time.Millisecond
 
-// Fetch asks the peers for the newest catalog and targets until one knows any.
+// Fetch asks the peers in turn for their catalog and targets, until one returns them, and
+// imports these into view.
 func (r *Ring) Fetch(ctx context.Context, view *fleet.View) {
 	for _, p := range r.connections() {
-		one, cancel := context.WithTimeout(ctx, fetchTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, fetchTimeout)
 		reply := &wire.CatalogReply{}
-		err := p.Call(one, link.Control, &wire.Call{Kind: &wire.Call_Catalog{Catalog: &wire.CatalogFetch{}}}, reply)
+		err := p.Call(callCtx, link.Control, &wire.Call{Kind: &wire.Call_Catalog{Catalog: &wire.CatalogFetch{}}}, reply)
 		cancel()
 		if err == nil && len(reply.GetCatalog()) > 0 {
 			view.Import(reply.GetCatalog(), store.FromWire(reply.GetTargets()), "peer")
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -22,6 +22,7 @@
 	"pumiceford/targets"
 )
 
+// testDecoder decodes a catalog from its version number and a target from its address.
 type testDecoder struct{}
 
 func (testDecoder) CatalogKey() string { return "c" }
@@ -39,130 +40,131 @@
 	return fleet.NewView(testDecoder{}, 1, logging.Logger{}, metrics.New("test"))
 }
 
-// fixture is two entries whose way to each other is a pipe, and a store.
+// fixture consists of a store and two entries connected by a pipe.
 type fixture struct {
 	store      *sharedstore.Store
-	helperView *fleet.View // of the entry that helps
-	ring       *peers.Ring // of the entry that asks
+	helperView *fleet.View // view of the entry that serves calls
+	pool       *peers.Ring // peers of the entry that makes calls
 }
 
 var testPartition = store.Partition{Topic: "t", Number: 1}
 
-func withPeerPair(t *testing.T, fn func(ctx context.Context, t *testing.T, w *fixture)) {
+// withPeerPair runs fn with a fixture in a synctest bubble.
+func withPeerPair(t *testing.T, fn func(ctx context.Context, t *testing.T, fx *fixture)) {
 	t.Helper()
-	// yamux keeps timers in a pool of the whole process; collecting twice empties
-	// it, so that none reaches from one bubble into another.
+	// yamux keeps timers in a process-wide pool. Two garbage collections empty the pool, so
+	// that no timer moves from one bubble to another.
 	runtime.GC()
 	runtime.GC()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := &fixture{store: sharedstore.New(4), helperView: newView()}
-		server := &peers.Server{Store: w.store.For("b"), View: w.helperView}
-		w.ring = peers.NewRing("a:1", link.Config{Node: "a", Dial: func(_ context.Context, addr string) (net.Conn, error) {
+		fx := &fixture{store: sharedstore.New(4), helperView: newView()}
+		server := &peers.Server{Store: fx.store.For("b"), View: fx.helperView}
+		fx.pool = peers.NewRing("a:1", link.Config{Node: "a", Dial: func(_ context.Context, addr string) (net.Conn, error) {
 			if addr != "b:1" {
-				return nil, errors.New("nobody there")
+				return nil, errors.New("connection refused: only b:1 listens")
 			}
 			near, far := net.Pipe()
 			go link.ServeConn(ctx, far, link.Config{Node: "b", Handle: server.Handle})
 			return near, nil
 		}}, []string{"a:1", "b:1"})
 		defer func() {
-			w.ring.Close()
+			fx.pool.Close()
 			cancel()
 			synctest.Wait()
 		}()
-		fn(ctx, t, w)
+		fn(ctx, t, fx)
 	})
 }
 
-// Each call and each of its errors comes through a peer as it is.
-func TestCallsThroughAPeer(t *testing.T) {
-	withPeerPair(t, func(ctx context.Context, t *testing.T, w *fixture) {
-		ways := w.ring.Ways()
-		if len(ways) != 1 {
-			t.Fatalf("%d ways", len(ways))
+// Calls through a peer return the results and errors of the store unchanged.
+func TestCallsThroughPeer(t *testing.T) {
+	withPeerPair(t, func(ctx context.Context, t *testing.T, fx *fixture) {
+		clients := fx.pool.Ways()
+		if len(clients) != 1 {
+			t.Fatalf("got %d peers, want 1", len(clients))
 		}
-		way := ways[0]
+		client := clients[0]
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
 		recs := []store.Record{{Key: "k", Value: []byte("v")}}
-		if end, err := way.Append(ctx, testPartition, recs, 0); err != nil || end != 1 {
-			t.Fatalf("end %d, %v", end, err)
+		if end, err := client.Append(ctx, testPartition, recs, 0); err != nil || end != 1 {
+			t.Fatalf("append: got end %d, error %v, want end 1", end, err)
 		}
 		var conflict *store.ConflictError
-		if _, err := way.Append(ctx, testPartition, recs, 0); !errors.As(err, &conflict) || conflict.End != 1 {
-			t.Fatalf("wrong end: %v", err)
+		if _, err := client.Append(ctx, testPartition, recs, 0); !errors.As(err, &conflict) || conflict.End != 1 {
+			t.Fatalf("append at a wrong end: got error %v, want a conflict at 1", err)
 		}
-		page, err := way.Read(ctx, testPartition, 0, 0)
+		page, err := client.Read(ctx, testPartition, 0, 0)
 		if err != nil || page.End != 1 || len(page.Records) != 1 || page.Records[0].Key != "k" || string(page.Records[0].Value) != "v" {
-			t.Fatalf("%+v %v", page, err)
+			t.Fatalf("read: got %+v, error %v", page, err)
 		}
-		snap, err := way.Newest(ctx, testPartition, "")
+		snap, err := client.Newest(ctx, testPartition, "")
 		if err != nil || len(snap.Records) != 1 || snap.End != 1 {
-			t.Fatalf("%+v %v", snap, err)
+			t.Fatalf("newest: got %+v, error %v", snap, err)
 		}
-		w.store.Forget(testPartition)
+		fx.store.Forget(testPartition)
 		var trimmed *store.TrimmedError
-		if _, err := way.Read(ctx, testPartition, 0, 0); !errors.As(err, &trimmed) || trimmed.First != 1 {
-			t.Fatalf("forgotten: %v", err)
+		if _, err := client.Read(ctx, testPartition, 0, 0); !errors.As(err, &trimmed) || trimmed.First != 1 {
+			t.Fatalf("read of trimmed records: got error %v, want records from 1 retained", err)
 		}
-		m, err := way.Join(ctx, store.JoinRequest{Group: "g", Member: "a:1", Topics: []string{"t"}, TTL: time.Minute})
+		m, err := client.Join(ctx, store.JoinRequest{Group: "g", Member: "a:1", Topics: []string{"t"}, TTL: time.Minute})
 		if err != nil || len(m.Partitions) != 4 {
-			t.Fatalf("%+v %v", m, err)
+			t.Fatalf("join: got %+v, error %v, want 4 partitions", m, err)
 		}
-		w.store.SetFault("b", sharedstore.Refuse)
-		if _, err := way.Append(ctx, testPartition, recs, 0); !errors.Is(err, store.ErrRefused) {
-			t.Fatalf("refused there as well: %v", err)
+		fx.store.SetFault("b", sharedstore.Refuse)
+		if _, err := client.Append(ctx, testPartition, recs, 0); !errors.Is(err, store.ErrRefused) {
+			t.Fatalf("append refused to the peer: got error %v, want ErrRefused", err)
 		}
-		w.store.SetFault("b", sharedstore.LoseAnswer)
+		fx.store.SetFault("b", sharedstore.LoseAnswer)
 		short, stop := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer stop()
-		if _, err := way.Append(short, testPartition, recs, 1); !errors.Is(err, store.ErrUnavailable) {
-			t.Fatalf("no answer there: %v", err)
+		if _, err := client.Append(short, testPartition, recs, 1); !errors.Is(err, store.ErrUnavailable) {
+			t.Fatalf("append without an answer to the peer: got error %v, want ErrUnavailable", err)
 		}
 	})
 }
 
-// Symptom: "may have been carried out" for a call that never left the host.
-// Cause: a peer that cannot be reached was taken for one that gave no answer.
-func TestAPeerThatCannotBeReachedHasDoneNothing(t *testing.T) {
-	withPeerPair(t, func(ctx context.Context, t *testing.T, w *fixture) {
-		w.ring.Set([]string{"gone:1"})
-		_, err := w.ring.Ways()[0].Append(ctx, testPartition, nil, 0)
+// Guards against ErrUnavailable, which means that a call may have been applied, for a call
+// that was not sent because the peer cannot be reached.
+func TestUnreachablePeerRefusesCalls(t *testing.T) {
+	withPeerPair(t, func(ctx context.Context, t *testing.T, fx *fixture) {
+		fx.pool.Set([]string{"gone:1"})
+		_, err := fx.pool.Ways()[0].Append(ctx, testPartition, nil, 0)
 		if !errors.Is(err, store.ErrRefused) || errors.Is(err, store.ErrUnavailable) {
-			t.Fatalf("%v", err)
+			t.Fatalf("got error %v, want only ErrRefused", err)
 		}
 	})
 }
 
-// An entry that knows nothing learns catalog and targets from a peer.
-func TestFetchFromAPeer(t *testing.T) {
-	withPeerPair(t, func(ctx context.Context, t *testing.T, w *fixture) {
-		mine := newView()
-		w.ring.Fetch(ctx, mine)
-		if mine.Ready() {
-			t.Fatal("ready with nothing told")
+// An entry without a catalog and targets gets them from a peer.
+func TestFetchFromPeer(t *testing.T) {
+	withPeerPair(t, func(ctx context.Context, t *testing.T, fx *fixture) {
+		view := newView()
+		fx.pool.Fetch(ctx, view)
+		if view.Ready() {
+			t.Fatal("view is ready before a peer has a catalog")
 		}
-		w.helperView.CatalogSink().Reset([]store.Record{{Key: "c", Value: []byte("7")}})
-		w.helperView.TargetSink().Reset([]store.Record{{Key: "i", Value: []byte("1:1")}})
-		w.ring.Fetch(ctx, mine)
-		if !mine.Ready() || mine.Catalog().Version != 7 || len(mine.Instances()) != 1 {
-			t.Fatalf("ready %v, targets %v", mine.Ready(), mine.Instances())
+		fx.helperView.CatalogSink().Reset([]store.Record{{Key: "c", Value: []byte("7")}})
+		fx.helperView.TargetSink().Reset([]store.Record{{Key: "i", Value: []byte("1:1")}})
+		fx.pool.Fetch(ctx, view)
+		if !view.Ready() || view.Catalog().Version != 7 || len(view.Instances()) != 1 {
+			t.Fatalf("after fetch: got ready %v, targets %v", view.Ready(), view.Instances())
 		}
 	})
 }
 
-// Who is known stays known when nobody else is told, and one is not its own peer.
-func TestPeersAreKept(t *testing.T) {
+// Known peers stay when an update names no other entry, and an entry is not its own peer.
+func TestSetKeepsKnownPeers(t *testing.T) {
 	r := peers.NewRing("a:1", link.Config{Node: "a"}, []string{"b:1", "a:1", "b:1", ""})
 	defer r.Close()
 	r.Set(nil)
 	r.Set([]string{"a:1"})
 	if n := len(r.Ways()); n != 1 {
-		t.Fatalf("%d peers", n)
+		t.Fatalf("got %d peers, want 1", n)
 	}
 	r.Set([]string{"b:1", "c:1", "d:1", "e:1", "f:1", "g:1"})
 	if n := len(r.Ways()); n != 4 {
-		t.Fatalf("%d peers kept of six", n)
+		t.Fatalf("got %d peers from six addresses, want 4", n)
 	}
 }
--- a/store/failover_test.go
+++ b/store/failover_test.go
@@ -83,13 +83,13 @@
 		s := sharedstore.New(1)
 		s.SetFault("a", sharedstore.Silent)
 		f := newFailover(s)
-		began := time.Now()
+		start := time.Now()
 		for range 10 {
 			if _, err := f.Newest(context.WithoutCancel(t.Context()), testPartition, ""); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if took := time.Since(began); took > time.Second {
+		if took := time.Since(start); took > time.Second {
 			t.Fatalf("ten calls took %s of virtual time, want at most 1s", took)
 		}
 	})
@@ -108,9 +108,9 @@
 		}
 		for n := range 5 {
 			time.Sleep(1500 * time.Millisecond)
-			began := time.Now()
-			if _, err := f.Append(ctx, testPartition, []store.Record{{Key: "k", Value: []byte("v")}}, store.AnyEnd); err != nil || time.Since(began) > 0 {
-				t.Errorf("append %d: got error %v after %s, want success at once", n, err, time.Since(began))
+			start := time.Now()
+			if _, err := f.Append(ctx, testPartition, []store.Record{{Key: "k", Value: []byte("v")}}, store.AnyEnd); err != nil || time.Since(start) > 0 {
+				t.Errorf("append %d: got error %v after %s, want success at once", n, err, time.Since(start))
 			}
 		}
 		s.SetFault("a", sharedstore.None)
