--- a/peers/peers.go
+++ b/peers/peers.go
@@ -26,8 +26,8 @@
 	Jobs  JobServer
 	// Granter decides on requests for grants in shards that this process acts for.
 	Granter Granter
-	// Acting returns the time since which this process has acted for a shard, or false
-	// while it does not act for it.
+	// This function returns the time since which this process has acted for a shard, or
+	// false while it does not act for it.
 	Acting func(shard int) (since time.Duration, ok bool)
 }
 
@@ -231,7 +231,7 @@
 	order      []string // addresses of the peers, in rotating order
 }
 
-// NewRing returns a Ring that starts with the seeds as peers.
+// NewRing returns a set of peers that starts with the seeds.
 func NewRing(self string, cfg link.Config, seeds []string) *Ring {
 	r := &Ring{self: self, cfg: cfg, connByAddr: make(map[string]*link.Peer)}
 	r.Set(seeds)
--- a/store/failover.go
+++ b/store/failover.go
@@ -174,16 +174,16 @@
 	return zero, lastErr
 }
 
-// Reaches reports whether the store is directly reachable. It returns false while the last
-// direct call got no answer or was refused.
+// Reaches reports whether direct calls reach the store. It returns false after a direct call
+// that got no answer or was refused, until another one succeeds.
 func (f *Failover) Reaches() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.directFailed
 }
 
-// Away reports whether the store is unreachable: the last direct call failed, and so did the
-// last call through peers, or there are no peers.
+// Away reports whether no backend reaches the store: the last direct call failed, and so did
+// the last call through peers, or there are no peers.
 func (f *Failover) Away() bool {
 	noPeers := len(f.peers()) == 0
 	f.mu.Lock()
@@ -197,8 +197,8 @@
 }
 
 // backends returns the backends to call, in order. After a failed direct call, reads try
-// the direct client first again once avoidInterval has passed. Appends do so only after a
-// successful direct read, since an append without an answer cannot be retried elsewhere
+// the direct client first again once avoidInterval has passed. Appends do so only after
+// such a read has succeeded, since an append without an answer cannot be retried elsewhere
 // and a caller waits for it.
 func (f *Failover) backends(isAppend bool) []Peer {
 	f.mu.Lock()
--- a/store/follower.go
+++ b/store/follower.go
@@ -31,7 +31,8 @@
 	// read that succeeds after it, with the length of the outage.
 	OnTrouble func(err error)
 	OnContact func(outage time.Duration)
-	// Loads bounds the number of concurrent full reads of partitions; nil sets no bound.
+	// This semaphore bounds the number of concurrent full reads of partitions; nil sets
+	// no bound.
 	Loads Loads
 	// Clock is a monotonic clock for confirmation times; nil if they are not used.
 	Clock func() time.Duration
