--- a/peers/grants_test.go
+++ b/peers/grants_test.go
@@ -87,8 +87,8 @@
 // Guards against a temporarily slow host that spends all its time on opening sessions because
 // each late answer causes a new one.
 func TestLateAnswersOpenFewSessions(t *testing.T) {
-	const requests, minInterval = 40, 100 * time.Millisecond
-	const maxSessions = 1 + requests*minInterval/(1500*time.Millisecond)
+	const requests, requestInterval = 40, 100 * time.Millisecond
+	const maxSessions = 1 + requests*requestInterval/(1500*time.Millisecond)
 	if _, dials, _ := askRepeatedly(t, 150*time.Millisecond, requests, 20*time.Millisecond); dials > int(maxSessions) {
 		t.Errorf("opened %d sessions for %d late answers", dials, requests)
 	}
