--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -24,10 +24,11 @@
 	"pumiceford/settings"
 )
 
-// defaultHarm is the harm tolerated before a policy is in force.
+// defaultHarm is the tolerated slowdown of an engine step by batch work while online
+// requests run, as a fraction, until a policy is in force.
 const defaultHarm = 0.05
 
-// RunAgent runs pumice-agent until stop ends, then stops it gracefully.
+// RunAgent runs pumice-agent until stop ends, then shuts it down gracefully.
 func RunAgent(stop context.Context, set *settings.Agent) error {
 	plat, err := infrahttp.New(set.Platform)
 	if err != nil {
@@ -56,16 +57,17 @@
 	return ServeAgent(stop, set, plat, eng, services, peers, ops)
 }
 
-// ServeAgent runs an agent on open listeners.
+// ServeAgent runs an agent on open listeners until stop ends, then shuts it down
+// gracefully.
 func ServeAgent(stop context.Context, set *settings.Agent, plat Platform, eng engine.Engine, services map[string]agent.Service, peers, ops net.Listener) error {
 	tlsConf, err := set.TLS.Config()
 	if err != nil {
 		return err
 	}
 	log := set.Log.Logger()
-	main := log.Part("agent")
+	agentLog := log.Part("agent")
 	if tlsConf == nil {
-		main.Warn("no tls settings; peers on loopback only")
+		agentLog.Warn("no TLS settings; peer connections are restricted to loopback")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -98,20 +100,20 @@
 		if !waitStop(ctx, stop) {
 			return nil
 		}
-		main.Info("stopping")
-		bound, done := context.WithTimeout(context.Background(), orElse(set.StopWithin, defaultStopWithin))
-		defer done()
-		report(main, a.Leave(bound))
-		time.Sleep(lastWords)
+		agentLog.Info("stopping")
+		stopCtx, cancelStop := context.WithTimeout(context.Background(), durationOr(set.StopWithin, defaultStopWithin))
+		defer cancelStop()
+		logStopped(agentLog, a.Leave(stopCtx))
+		time.Sleep(connFlushDelay)
 		return nil
 	})
-	main.Info("agent started", logging.F("listen", peers.Addr().String()))
+	agentLog.Info("agent started", logging.F("listen", peers.Addr().String()))
 	return g.Wait()
 }
 
-// lastWords is how long a stopping agent stays for the last frames and
-// acknowledgements to leave its connections.
-const lastWords = 200 * time.Millisecond
+// connFlushDelay is how long a stopping agent waits for the last frames and
+// acknowledgements to be sent on its connections.
+const connFlushDelay = 200 * time.Millisecond
 
 func serveAgentOps(ctx context.Context, ln net.Listener, set *metrics.Set) error {
 	const maxBody = 1 << 16
--- a/daemon/agentlinks.go
+++ b/daemon/agentlinks.go
@@ -15,39 +15,40 @@
 	"pumiceford/wire"
 )
 
-// maxWatched bounds the targets whose load one entry is told, so that its sessions and
-// messages stay flat as the fleet grows. More make placement worse: many entries then
-// see the same free slot and meet there.
-const maxWatched = 16
+// maxWatchedTargets bounds the number of targets whose load one entry follows, so that the
+// number of its sessions and messages does not grow with the fleet. More watched targets
+// make placement worse: many entries then see the same free slot and all choose it.
+const maxWatchedTargets = 16
 
-// agentLinks keeps the sessions to the agents beside the targets. It implements
-// runner.Seats.
+// agentLinks maintains the sessions to the agents beside the targets. It implements
+// runner.Seats and gateway.Witness.
 type agentLinks struct {
-	cfg  link.Config
-	addr func(target string) string
-	view *fleet.View
-	held *quarantine.Keeper
-	// told is called when a target has a free slot.
-	told func()
+	cfg     link.Config
+	addr    func(target string) string
+	view    *fleet.View
+	tracker *quarantine.Keeper
+	// onFreeSlot is called when an agent reports that its target has a free slot for batch.
+	onFreeSlot func()
 
 	mu    sync.Mutex
 	links map[string]*agentLink // by instance
 }
 
 type agentLink struct {
-	target string // address of the target beside the agent
-	peer   *link.Peer
-	stop   context.CancelFunc
-	told   time.Time // a failure of the target, last; guarded by agentLinks.mu
+	target     string // address of the target beside the agent
+	peer       *link.Peer
+	stop       context.CancelFunc
+	lastReport time.Time // when a failure of the target was last reported; guarded by agentLinks.mu
 }
 
-func newAgentLinks(cfg link.Config, addr func(string) string, view *fleet.View, held *quarantine.Keeper) *agentLinks {
-	return &agentLinks{cfg: cfg, addr: addr, view: view, held: held, told: func() {}, links: make(map[string]*agentLink)}
+func newAgentLinks(cfg link.Config, addr func(string) string, view *fleet.View, tracker *quarantine.Keeper) *agentLinks {
+	return &agentLinks{cfg: cfg, addr: addr, view: view, tracker: tracker, onFreeSlot: func() {}, links: make(map[string]*agentLink)}
 }
 
-// set follows the agents of the given targets, a stable part of them when they
-// are many.
-func (a *agentLinks) set(ctx context.Context, all []targets.Instance) {
+// update opens and closes links so that the agents of the given targets are followed. When
+// there are more than maxWatchedTargets, a stable subset is followed, chosen by rendezvous
+// hashing on the node's name.
+func (a *agentLinks) update(ctx context.Context, all []targets.Instance) {
 	byID := make(map[string]targets.Instance, len(all))
 	var ids []string
 	for _, in := range all {
@@ -55,7 +56,7 @@
 		ids = append(ids, in.ID)
 	}
 	keep := make(map[string]bool)
-	for _, id := range routing.Top(ids, routing.Score(a.cfg.Node, 1), maxWatched) {
+	for _, id := range routing.Top(ids, routing.Score(a.cfg.Node, 1), maxWatchedTargets) {
 		keep[id] = true
 	}
 	a.mu.Lock()
@@ -77,11 +78,11 @@
 func (a *agentLinks) watch(ctx context.Context, in targets.Instance) *agentLink {
 	ctx, cancel := context.WithCancel(ctx)
 	l := &agentLink{target: in.Addr, peer: link.NewPeer(a.cfg, a.addr(in.Addr)), stop: cancel}
-	go quarantine.Follow(ctx, l.peer, a.held)
+	go quarantine.Follow(ctx, l.peer, a.tracker)
 	go seats.Watch(ctx, l.peer, in, func(load *wire.Load) {
 		a.view.Table(func(t *balance.Table) { t.Note(time.Now(), in.ID, loadReport(load)) })
 		if load.GetRoom()+load.GetSpare() > 0 {
-			a.told()
+			a.onFreeSlot()
 		}
 	})
 	return l
@@ -102,26 +103,26 @@
 	return seat, err
 }
 
-// faultEvery bounds how often one entry tells an agent of failures: the agent counts
-// entries, not failures.
-const faultEvery = 500 * time.Millisecond
+// faultReportInterval is the shortest time between two failure reports of one entry to one
+// agent. More reports add nothing: the agent counts entries, not failures.
+const faultReportInterval = 500 * time.Millisecond
 
-// Tell tells the agent beside a target that a request failed there. It implements
-// gateway.Witness.
+// Tell reports to the agent beside a target that a request failed there. It does not
+// block. It implements gateway.Witness.
 func (a *agentLinks) Tell(id string) {
 	now := time.Now()
 	a.mu.Lock()
 	l := a.links[id]
-	if l == nil || now.Sub(l.told) < faultEvery {
+	if l == nil || now.Sub(l.lastReport) < faultReportInterval {
 		a.mu.Unlock()
 		return
 	}
-	l.told = now
+	l.lastReport = now
 	a.mu.Unlock()
 	go seats.TellFault(l.peer, a.cfg.Node)
 }
 
-// loadReport turns an agent's word into what the balance works with.
+// loadReport converts an agent's load message to a balance.Report.
 func loadReport(l *wire.Load) balance.Report {
 	return balance.Report{Active: int(l.GetActive()), Queued: int(l.GetQueued()), Batch: int(l.GetBatch()), Slots: int(l.GetSlots()),
 		Room: int(l.GetRoom()), Spare: int(l.GetSpare()), Silent: l.GetSilent(), Witnesses: int(l.GetWitnesses())}
--- /dev/null
+++ b/daemon/background.go
@@ -0,0 +1,100 @@
+package daemon
+
+import (
+	"context"
+	"time"
+
+	"pumiceford/internal/wait"
+	"pumiceford/logging"
+	"pumiceford/store"
+)
+
+// followStore follows the configuration and the registry until ctx ends.
+func (n *entryNode) followStore(ctx context.Context) {
+	registry := store.NewFollower(n.store, n.deps.Registry, n.view.TargetSink(), store.FollowSettings{
+		Wait: storeReadWait, Pause: registryPause,
+		OnTrouble: n.view.RegistryAway,
+		OnContact: n.view.RegistryBack,
+	})
+	go registry.Run(ctx)
+	n.config.Run(ctx)
+}
+
+func (n *entryNode) storeFailed(what string, err error) {
+	n.metrics.Count("store_failures")
+	n.log.Warn("store does not answer; what is known stays in force", logging.F("read", what), logging.F("error", err.Error()))
+}
+
+func (n *entryNode) storeRecovered(what string, away time.Duration) {
+	n.log.Info("store answers again", logging.F("read", what), logging.F("away_ms", away.Milliseconds()))
+}
+
+// watchPeers keeps the list of the other entries up to date from the group, and fetches
+// the catalog and the targets from them while this entry does not know them.
+func (n *entryNode) watchPeers(ctx context.Context) {
+	next := time.Time{}
+	for ctx.Err() == nil {
+		if !n.view.Ready() {
+			n.ring.Fetch(ctx, n.view)
+		}
+		if now := time.Now(); now.After(next) {
+			next = now.Add(ownersInterval)
+			n.refreshPeers(ctx)
+		}
+		_ = wait.For(ctx, fetchInterval)
+	}
+}
+
+// maintainCopies loads the fleet from a copy when the catalog and registry partitions
+// cannot be read at start-up. Afterwards it saves changes of the fleet to the copies, on
+// the process that runs copyPartition.
+func (n *entryNode) maintainCopies(ctx context.Context) {
+	n.view.Await(ctx, registryStartWait)
+	for !n.view.Ready() && ctx.Err() == nil {
+		n.copies.Load(ctx)
+		n.view.Await(ctx, fetchInterval)
+	}
+	for wait.For(ctx, copyInterval) == nil {
+		if n.runner.Holds(copyPartition) {
+			n.copies.Save(ctx, time.Now())
+		}
+	}
+}
+
+func (n *entryNode) refreshPeers(ctx context.Context) {
+	owners, err := n.store.Owners(ctx, jobGroup)
+	if err != nil {
+		n.metrics.Count("group_failures")
+		return // the known peers stay
+	}
+	n.routes.SetOwners(n.deps.Jobs, owners)
+	var addrs []string
+	for _, o := range owners {
+		addrs = append(addrs, o.Member)
+	}
+	n.ring.Set(append(addrs, n.set.Seeds...))
+}
+
+// expireTargets drops lapsed targets from the view and updates the gauges until ctx ends.
+func (n *entryNode) expireTargets(ctx context.Context) {
+	for wait.For(ctx, expireInterval) == nil {
+		now := time.Now()
+		n.view.Expire(now)
+		n.metrics.Gauge("partitions_followed", float64(n.jobs.Followed()))
+		n.metrics.Gauge("caller_reads_per_second", n.jobs.CallerReadRate())
+		n.metrics.Gauge("catalog_seconds", n.view.CatalogAge(now).Seconds())
+	}
+}
+
+// renewKeyLease keeps the configuration confirmed while keys are in use. A failure is
+// counted but not logged: it shows in the requests that are refused because of it.
+func (n *entryNode) renewKeyLease(ctx context.Context) {
+	for wait.For(ctx, keyRenewInterval) == nil {
+		if err := n.access.Renew(ctx); err != nil {
+			n.metrics.Count("configuration_not_confirmed")
+		}
+		if age, ok := n.access.Age(); ok {
+			n.metrics.Gauge("configuration_confirmed_seconds_ago", age.Seconds())
+		}
+	}
+}
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -12,42 +12,42 @@
 	"pumiceford/internal/wait"
 )
 
-// Times of a drain.
+// Intervals of a connection drain.
 const (
-	// drainLook is left between looks at the open connections.
-	drainLook = 50 * time.Millisecond
-	// idleRests is how long a connection has to be idle before it is closed. On the
-	// smallest hosts a request that has come stays unread for longer; some looks let what
-	// is waiting for the processor run.
-	idleRests = 200 * time.Millisecond
-	// newRests is how long a new connection may take to the end of its first header:
-	// callers open them for a request.
-	newRests = 2 * time.Second
+	// drainPollInterval is the delay between two checks of the open connections.
+	drainPollInterval = 50 * time.Millisecond
+	// idleGrace is how long a connection has to be idle before it is closed. On the
+	// smallest hosts a request that has arrived stays unread for longer than one poll
+	// interval; several polls give its reader time to be scheduled.
+	idleGrace = 200 * time.Millisecond
+	// newConnGrace is how long a new connection may take to complete its first request
+	// header: callers open connections in order to send a request.
+	newConnGrace = 2 * time.Second
 )
 
-// drain ends an HTTP server so that each request that has reached the process is
-// answered. The library's own shutdown drops, without an answer, a request whose
-// last byte it reads after the shutdown began: a caller sees its connection closed
-// although the whole request had arrived. So connections end here while the server
-// still answers, each when it is idle, and the library only has to stop.
-type drain struct {
-	mu    sync.Mutex // held for memory only
-	conns map[net.Conn]*drained
+// connDrainer shuts an HTTP server down so that each request that has reached the
+// process is answered. http.Server.Shutdown drops a request whose last byte it reads
+// after the shutdown began: the caller sees its connection closed without a response
+// although the complete request had arrived. connDrainer therefore closes each
+// connection once it is idle, while the server still serves, and calls Shutdown last.
+type connDrainer struct {
+	mu    sync.Mutex // never held during I/O
+	conns map[net.Conn]*trackedConn
 }
 
-// drained is one open connection.
-type drained struct {
+// trackedConn is one open connection.
+type trackedConn struct {
 	state   http.ConnState
 	since   time.Time
-	expired bool // its reads end at once
+	expired bool // the read deadline has been set to end reads at once
 }
 
-func newDrain() *drain {
-	return &drain{conns: make(map[net.Conn]*drained)}
+func newConnDrainer() *connDrainer {
+	return &connDrainer{conns: make(map[net.Conn]*trackedConn)}
 }
 
-// note takes the state of a connection; it is an http.Server's ConnState.
-func (d *drain) note(c net.Conn, next http.ConnState) {
+// trackState records the state of a connection. It is the http.Server's ConnState hook.
+func (d *connDrainer) trackState(c net.Conn, next http.ConnState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if next == http.StateClosed || next == http.StateHijacked {
@@ -56,44 +56,44 @@
 	}
 	s := d.conns[c]
 	if s == nil {
-		s = &drained{}
+		s = &trackedConn{}
 		d.conns[c] = s
 	}
 	if s.expired {
-		// A request was read just before: it is answered, and its caller must not be
-		// taken for one that has gone.
-		_ = c.SetReadDeadline(time.Time{}) // fails only when it is closed
+		// A request was read just before the deadline. It is answered; with the deadline
+		// left in place the server would treat its caller as disconnected.
+		_ = c.SetReadDeadline(time.Time{}) // fails only on a closed connection
 	}
 	s.state, s.since, s.expired = next, time.Now(), false
 }
 
-// expire ends the connections on which nothing is read, answered or awaited, and
-// returns how many are left.
-func (d *drain) expire(now time.Time) int {
+// expireIdle ends the connections that are idle or that have not sent a request within
+// newConnGrace. It returns the number of open connections.
+func (d *connDrainer) expireIdle(now time.Time) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for c, s := range d.conns {
-		idle := s.state == http.StateIdle && now.Sub(s.since) >= idleRests
-		unused := s.state == http.StateNew && now.Sub(s.since) >= newRests
+		idle := s.state == http.StateIdle && now.Sub(s.since) >= idleGrace
+		unused := s.state == http.StateNew && now.Sub(s.since) >= newConnGrace
 		if idle || unused {
-			// The server closes it when its read ends. To close it here could cut off a
-			// request that was read this very moment.
+			// The server closes the connection when its read ends. Closing it here could
+			// cut off a request that is being read at this moment.
 			s.expired = true
-			_ = c.SetReadDeadline(now) // fails only when it is closed
+			_ = c.SetReadDeadline(now) // fails only on a closed connection
 		}
 	}
 	return len(d.conns)
 }
 
-// end accepts no more connections and ends each that is open once it is idle.
-// What is not answered when ctx ends is cut off and returned as an error.
-func (d *drain) end(ctx context.Context, ln net.Listener, srv *http.Server) error {
+// shutdown stops accepting connections and closes each open one once it is idle.
+// Requests that are unanswered when ctx ends are cut off, and an error is returned.
+func (d *connDrainer) shutdown(ctx context.Context, ln net.Listener, srv *http.Server) error {
 	if err := ln.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		return err
 	}
-	for d.expire(time.Now()) > 0 {
-		if err := wait.For(ctx, drainLook); err != nil {
-			break // the library returns the error, with what is left
+	for d.expireIdle(time.Now()) > 0 {
+		if err := wait.For(ctx, drainPollInterval); err != nil {
+			break // Shutdown returns the error if connections are left
 		}
 	}
 	return srv.Shutdown(ctx)
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -49,37 +49,38 @@
 	return near
 }
 
-// withServer runs fn with a server that is to be drained, and returns when it ended.
-func withServer(t *testing.T, fn func(t *testing.T, ln *pipeListener, end func(bound time.Duration) error)) {
+// withServer runs fn with a server and a function that drains it within a time limit. It
+// returns once the server has stopped.
+func withServer(t *testing.T, fn func(t *testing.T, ln *pipeListener, drain func(limit time.Duration) error)) {
 	synctest.Test(t, func(t *testing.T) {
-		ln, d := newPipeListener(), newDrain()
-		srv := &http.Server{ConnState: d.note, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		ln, d := newPipeListener(), newConnDrainer()
+		srv := &http.Server{ConnState: d.trackState, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			select {
-			case <-time.After(answerTakes):
+			case <-time.After(responseDelay):
 				_, _ = io.WriteString(w, "whole") // the test reads it
 			case <-r.Context().Done():
-				t.Error("the caller was taken for one that has gone")
+				t.Error("the request context was cancelled as if the caller had disconnected")
 			}
 		})}
 		served := make(chan error, 1)
 		go func() { served <- srv.Serve(ln) }()
-		fn(t, ln, func(bound time.Duration) error {
-			ctx, cancel := context.WithTimeout(t.Context(), bound)
+		fn(t, ln, func(limit time.Duration) error {
+			ctx, cancel := context.WithTimeout(t.Context(), limit)
 			defer cancel()
-			return d.end(ctx, ln, srv)
+			return d.shutdown(ctx, ln, srv)
 		})
-		_ = srv.Close() // ends what a test left open
+		_ = srv.Close() // closes connections that a test left open
 		if err := <-served; !errors.Is(err, net.ErrClosed) && !errors.Is(err, http.ErrServerClosed) {
-			t.Errorf("the server ended with %v", err)
+			t.Errorf("Serve returned %v", err)
 		}
 	})
 }
 
-func answerOf(t *testing.T, c net.Conn) string {
+func readResponse(t *testing.T, c net.Conn) string {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		t.Fatalf("the connection was closed without an answer: %v", err)
+		t.Fatalf("connection closed without a response: %v", err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
@@ -88,7 +89,7 @@
 	return string(body)
 }
 
-func ask(t *testing.T, c net.Conn) {
+func sendRequest(t *testing.T, c net.Conn) {
 	t.Helper()
 	if _, err := io.WriteString(c, request); err != nil {
 		t.Fatal(err)
@@ -96,100 +97,98 @@
 }
 
 const (
-	answerTakes = 700 * time.Millisecond
-	request     = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
-	firstHalf   = "GET / HTTP/1.1\r\nHost: a\r\n"
-	secondHalf  = "Connection: close\r\n\r\n"
+	responseDelay = 700 * time.Millisecond
+	request       = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
+	firstHalf     = "GET / HTTP/1.1\r\nHost: a\r\n"
+	secondHalf    = "Connection: close\r\n\r\n"
 )
 
-// Symptom: during a planned stop a connection is closed although the whole request
-// had arrived on it.
-// Sequence: a request reaches a host with little processor time just before it
-// stops; its last bytes are read after the server's shutdown began.
-// Cause: the library drops what it reads after that, without an answer.
-func TestARequestReadDuringTheStopIsAnswered(t *testing.T) {
-	withServer(t, func(t *testing.T, ln *pipeListener, end func(time.Duration) error) {
+// Guards against a shutdown that closes a connection on which a complete request has
+// arrived. On a host with little processor time the last bytes of a request may be read
+// after the shutdown began; http.Server.Shutdown drops such a request without a response.
+func TestAnswersRequestReadDuringShutdown(t *testing.T) {
+	withServer(t, func(t *testing.T, ln *pipeListener, drain func(time.Duration) error) {
 		c := ln.dial()
 		if _, err := io.WriteString(c, firstHalf); err != nil {
 			t.Fatal(err)
 		}
-		ended := make(chan error, 1)
-		go func() { ended <- end(5 * time.Second) }()
+		drained := make(chan error, 1)
+		go func() { drained <- drain(5 * time.Second) }()
 		time.Sleep(time.Second)
 		if _, err := io.WriteString(c, secondHalf); err != nil {
-			t.Fatalf("the connection was closed: %v", err)
+			t.Fatalf("connection closed before the request was complete: %v", err)
 		}
-		if got := answerOf(t, c); got != "whole" {
-			t.Fatalf("answered %q", got)
+		if got := readResponse(t, c); got != "whole" {
+			t.Fatalf("got an unexpected response body %q", got)
 		}
-		if err := <-ended; err != nil {
+		if err := <-drained; err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// Symptom: streams are cut off by a planned stop seven seconds after its beginning.
-// Sequence: callers hold many idle connections and use one after the other, so
-// that at each moment some request is being answered.
-// Cause: idle connections were only closed once nothing was being answered.
-func TestIdleConnectionsDoNotHoldUpTheStop(t *testing.T) {
-	withServer(t, func(t *testing.T, ln *pipeListener, end func(time.Duration) error) {
-		const kept, every, bound = 30, 200 * time.Millisecond, 4 * time.Second
+// Guards against a shutdown that reaches its deadline and cuts off streams. Callers hold
+// many idle connections and use one after the other, so that some request is always in
+// progress. A drain that closes idle connections only when no request is in progress then
+// never closes any: streams were cut off 7 s after the shutdown began.
+func TestIdleConnectionsDoNotDelayShutdown(t *testing.T) {
+	withServer(t, func(t *testing.T, ln *pipeListener, drain func(time.Duration) error) {
+		const idleConns, interval, limit = 30, 200 * time.Millisecond, 4 * time.Second
 		var conns []net.Conn
-		for range kept {
+		for range idleConns {
 			c := ln.dial()
-			ask(t, c)
-			if got := answerOf(t, c); got != "whole" {
-				t.Fatalf("answered %q", got)
+			sendRequest(t, c)
+			if got := readResponse(t, c); got != "whole" {
+				t.Fatalf("got an unexpected response body %q", got)
 			}
 			conns = append(conns, c)
 		}
-		ended := make(chan error, 1)
-		go func() { ended <- end(bound) }()
+		drained := make(chan error, 1)
+		go func() { drained <- drain(limit) }()
 		for _, c := range conns {
-			time.Sleep(every)
+			time.Sleep(interval)
 			if _, err := io.WriteString(c, request); err != nil {
 				break // closed while it was idle
 			}
-			if got := answerOf(t, c); got != "whole" {
-				t.Fatalf("answered %q", got)
+			if got := readResponse(t, c); got != "whole" {
+				t.Fatalf("got an unexpected response body %q", got)
 			}
 		}
-		if err := <-ended; err != nil {
+		if err := <-drained; err != nil {
 			t.Fatalf("requests were cut off: %v", err)
 		}
 	})
 }
 
-// A kept connection is closed once it has been idle; a caller that does not end its
-// request is waited for a while and not beyond the bound.
-func TestADrainEnds(t *testing.T) {
-	withServer(t, func(t *testing.T, ln *pipeListener, end func(time.Duration) error) {
-		kept := ln.dial()
-		ask(t, kept)
-		if got := answerOf(t, kept); got != "whole" {
-			t.Fatalf("answered %q", got)
+// A keep-alive connection is closed once it has been idle. A connection with an incomplete
+// request is closed after newConnGrace; a drain with a shorter limit reports the timeout.
+func TestDrainTerminates(t *testing.T) {
+	withServer(t, func(t *testing.T, ln *pipeListener, drain func(time.Duration) error) {
+		c := ln.dial()
+		sendRequest(t, c)
+		if got := readResponse(t, c); got != "whole" {
+			t.Fatalf("got an unexpected response body %q", got)
 		}
-		began := time.Now()
-		if err := end(5 * time.Second); err != nil || time.Since(began) > time.Second {
-			t.Fatalf("%v after %s", err, time.Since(began))
+		start := time.Now()
+		if err := drain(5 * time.Second); err != nil || time.Since(start) > time.Second {
+			t.Fatalf("drain returned %v after %s, want nil within 1 s", err, time.Since(start))
 		}
 	})
-	withServer(t, func(t *testing.T, ln *pipeListener, end func(time.Duration) error) {
+	withServer(t, func(t *testing.T, ln *pipeListener, drain func(time.Duration) error) {
 		c := ln.dial()
 		if _, err := io.WriteString(c, firstHalf); err != nil {
 			t.Fatal(err)
 		}
-		if err := end(newRests / 2); !errors.Is(err, context.DeadlineExceeded) {
-			t.Fatalf("got %v", err)
+		if err := drain(newConnGrace / 2); !errors.Is(err, context.DeadlineExceeded) {
+			t.Fatalf("drain returned %v, want a timeout", err)
 		}
 	})
-	withServer(t, func(t *testing.T, ln *pipeListener, end func(time.Duration) error) {
+	withServer(t, func(t *testing.T, ln *pipeListener, drain func(time.Duration) error) {
 		c := ln.dial()
 		if _, err := io.WriteString(c, firstHalf); err != nil {
 			t.Fatal(err)
 		}
-		if err := end(2 * newRests); err != nil {
+		if err := drain(2 * newConnGrace); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -1,5 +1,5 @@
 // Package daemon builds the processes from their settings and runs them until a
-// signal stops them. The commands' main files only call it.
+// signal stops them. The main packages of the commands only call it.
 package daemon
 
 import (
@@ -23,13 +23,14 @@
 	"pumiceford/settings"
 )
 
-// Defaults of settings that concern stopping.
+// Defaults of the shutdown settings.
 const (
-	defaultStopWithin   = 10 * time.Minute
-	defaultBalancerSees = 2 * time.Second
+	defaultStopWithin    = 10 * time.Minute
+	defaultBalancerDelay = 2 * time.Second
 )
 
-func orElse(d settings.Duration, def time.Duration) time.Duration {
+// durationOr returns d, or def if d is 0.
+func durationOr(d settings.Duration, def time.Duration) time.Duration {
 	if d == 0 {
 		return def
 	}
@@ -41,33 +42,33 @@
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
-// Platform is what the platform gives, over whichever transport.
+// Platform is the set of services that the platform provides, over any transport.
 type Platform interface {
 	infra.Log
 	infra.HostList
 	infra.WeightStore
 }
 
-// EntryListeners are the open ports of an entry.
+// EntryListeners are the open listeners of an entry.
 type EntryListeners struct {
 	Callers, Operators, Peers net.Listener
 }
 
 func listenEntry(set *settings.Entry) (EntryListeners, error) {
-	var l EntryListeners
+	var ls EntryListeners
 	var err error
-	for _, at := range []struct {
-		into *net.Listener
+	for _, l := range []struct {
+		dst  *net.Listener
 		addr string
-	}{{&l.Callers, set.Callers}, {&l.Operators, set.Operators}, {&l.Peers, set.Peers}} {
-		if *at.into, err = settings.Listen(at.addr); err != nil {
-			return l, err
+	}{{&ls.Callers, set.Callers}, {&ls.Operators, set.Operators}, {&ls.Peers, set.Peers}} {
+		if *l.dst, err = settings.Listen(l.addr); err != nil {
+			return ls, err
 		}
 	}
-	return l, nil
+	return ls, nil
 }
 
-// RunEntry runs pumice-entry until stop ends, then stops it gracefully.
+// RunEntry runs pumice-entry until stop ends, then shuts it down gracefully.
 func RunEntry(stop context.Context, set *settings.Entry) error {
 	plat, err := infrahttp.New(set.Platform)
 	if err != nil {
@@ -80,7 +81,8 @@
 	return ServeEntry(stop, set, plat, ls)
 }
 
-// ServeEntry runs an entry on open listeners.
+// ServeEntry runs an entry on open listeners until stop ends, then shuts it down
+// gracefully.
 func ServeEntry(stop context.Context, set *settings.Entry, plat Platform, ls EntryListeners) error {
 	tlsConf, err := set.TLS.Config()
 	if err != nil {
@@ -104,9 +106,9 @@
 		Logger:  log,
 		Metrics: metrics.New(set.Name),
 	})
-	main := log.Part("entry")
+	entryLog := log.Part("entry")
 	if tlsConf == nil {
-		main.Warn("no tls settings; peers on loopback only")
+		entryLog.Warn("no TLS settings; peer connections are restricted to loopback")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -119,17 +121,17 @@
 		if !waitStop(ctx, stop) {
 			return nil
 		}
-		main.Info("stopping")
-		bound, done := context.WithTimeout(context.Background(), orElse(set.StopWithin, defaultStopWithin))
-		defer done()
-		report(main, e.Leave(bound, orElse(set.BalancerSees, defaultBalancerSees)))
+		entryLog.Info("stopping")
+		stopCtx, cancelStop := context.WithTimeout(context.Background(), durationOr(set.StopWithin, defaultStopWithin))
+		defer cancelStop()
+		logStopped(entryLog, e.Leave(stopCtx, durationOr(set.BalancerSees, defaultBalancerDelay)))
 		return nil
 	})
-	main.Info("entry started", logging.F("callers", ls.Callers.Addr().String()), logging.F("operators", ls.Operators.Addr().String()))
+	entryLog.Info("entry started", logging.F("callers", ls.Callers.Addr().String()), logging.F("operators", ls.Operators.Addr().String()))
 	return g.Wait()
 }
 
-// waitStop waits for a stop. It reports false when ctx ended first.
+// waitStop waits until stop ends. It reports false if ctx ended first.
 func waitStop(ctx, stop context.Context) bool {
 	select {
 	case <-stop.Done():
@@ -139,10 +141,11 @@
 	}
 }
 
-func report(log logging.Logger, cut int) {
+// logStopped logs the end of a shutdown that cut off the given number of requests.
+func logStopped(log logging.Logger, cut int) {
 	if cut > 0 {
-		log.Error("stopped by the bound; requests were cut off", logging.F("cut", cut))
+		log.Error("shutdown deadline reached; requests were cut off", logging.F("cut", cut))
 		return
 	}
-	log.Info("stopped; nothing was cut off")
+	log.Info("stopped; no requests were cut off")
 }
--- a/daemon/exit.go
+++ b/daemon/exit.go
@@ -6,11 +6,11 @@
 	"os"
 )
 
-// Exit runs a command and ends the process: 0 when it succeeded, 1 with the
-// failure on w when it did not.
+// Exit runs a command. If it fails, Exit writes the error to w and ends the process with
+// status 1.
 func Exit(w io.Writer, run func() error) {
 	if err := run(); err != nil {
-		// When even the failure cannot be written, the exit status tells it.
+		// If the error cannot be written either, the exit status still reports it.
 		_, _ = fmt.Fprintf(w, "error: %v\n", err)
 		os.Exit(1)
 	}
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -38,7 +38,8 @@
 	"pumiceford/targets"
 )
 
-// TargetSender sends to targets and forgets those that are gone.
+// TargetSender sends to targets. Retain discards its state for targets that are not in
+// the list.
 type TargetSender interface {
 	exchange.Sender
 	exchange.Reserver
@@ -46,26 +47,28 @@
 	Retain(all []targets.Instance)
 }
 
-// GatewayParts is what the users' platform gives, in the project's terms.
+// GatewayParts holds what an entry takes from the users' platform: its store, its topics,
+// its wire formats and its HTTP handlers.
 type GatewayParts struct {
 	Store      store.Client
 	Decoder    fleet.Decoder
 	Catalog    store.Partition
 	Registry   store.Partition
 	Jobs       string // topic of jobs
-	Progress   string // topic of unfinished items
+	Progress   string // topic of the progress of unfinished items
 	Copies     string // topic of copies of the fleet
 	Quarantine string // topic of requests that crash their targets
-	Shards     string // topic of the processes that grant requests of limited workspaces
+	Shards     string // topic of the shard owners, which grant requests to rate-limited workspaces
 	Sender     TargetSender
-	// ItemHeader turns an item's headers into those of its call.
+	// ItemHeader converts the headers of a batch item to the headers of its call.
 	ItemHeader func(item map[string]string) map[string][]string
-	// Front returns the handler of callers.
+	// Front returns the handler of the callers' listener.
 	Front func(f Front) http.Handler
+	// Ready returns the handler of the readiness probe.
 	Ready func(ready func() bool) http.Handler
 }
 
-// Front is what the handler of callers works with.
+// Front holds what the handler of the callers' listener works with.
 type Front struct {
 	Gateway *gateway.Gateway
 	Access  *access.Gate
@@ -78,50 +81,51 @@
 
 // Intervals and bounds of an entry.
 const (
-	// catalogWait is how long a read of configuration and registry waits. A
-	// change has to be in force within two seconds also when a read's connection
-	// has gone silent.
-	catalogWait = 2 * time.Second
-	// registryPause is left between reads of the registry that bring heartbeats:
-	// with nine targets it turns eight reads a second into three.
-	registryPause = 250 * time.Millisecond
-	expireEvery   = 200 * time.Millisecond
-	ownersEvery   = 4 * time.Second
-	fetchEvery    = 100 * time.Millisecond
-	// keyLeaseReads is how many reads of the configuration fit in the lease of keys.
-	keyLeaseReads = 4
-	// renewEvery is how often it is seen whether the configuration has to be confirmed.
-	renewEvery = 250 * time.Millisecond
-	// copyAfter is how long a new process waits for the registry itself before
-	// it takes a copy.
-	copyAfter = 50 * time.Millisecond
-	// copyEvery is how often a change of the fleet is looked for to be copied.
-	copyEvery = 250 * time.Millisecond
-	// copyPartition is the partition of jobs whose runner keeps the copies, so
-	// that one process does.
+	// storeReadWait is how long a read of the configuration or the registry waits for
+	// records. A change has to be in force within 2 s even if the connection of a read
+	// stops answering.
+	storeReadWait = 2 * time.Second
+	// registryPause is the delay after a read of the registry that returned records. It
+	// batches heartbeats: with nine targets it reduces eight reads a second to three.
+	registryPause  = 250 * time.Millisecond
+	expireInterval = 200 * time.Millisecond
+	ownersInterval = 4 * time.Second
+	fetchInterval  = 100 * time.Millisecond
+	// readsPerKeyLease is the number of configuration reads that fit in one key lease.
+	readsPerKeyLease = 4
+	// keyRenewInterval is the time between two checks whether the configuration has to be
+	// confirmed again.
+	keyRenewInterval = 250 * time.Millisecond
+	// registryStartWait is how long a new process waits for the catalog and the registry
+	// before it loads a copy of the fleet.
+	registryStartWait = 50 * time.Millisecond
+	// copyInterval is the time between two checks whether the fleet has changed since the
+	// last copy.
+	copyInterval = 250 * time.Millisecond
+	// copyPartition is the job partition whose owner saves the copies, so that only one
+	// process does.
 	copyPartition = 0
-	// balancerSees is how long the balancer takes to send no new connections: it
-	// asks once a second and needs two misses.
-	balancerSees = 2600 * time.Millisecond
-	// lastBefore is how long before the platform kills a stopping process it has
-	// to be done.
-	lastBefore = 700 * time.Millisecond
-	logFlush   = 200 * time.Millisecond
-	// headerTime, idleTime and headerBytes bound a connection whatever operators
-	// set: they are above the limits in force, which the handler of callers keeps.
-	// A server that closed idle connections sooner than these allow would cross
-	// with requests on them.
-	headerTime  = 15 * time.Second
-	idleTime    = 2 * time.Minute
-	headerBytes = 256 << 10
-	jobGroup    = "runners"
-	maxRunning  = 256
+	// balancerDelay is how long the balancer takes to stop sending new connections: it
+	// probes readiness once a second and needs two failed probes.
+	balancerDelay = 2600 * time.Millisecond
+	// stopMargin is the time between the deadline of the shutdown and the moment at which
+	// the platform kills the process.
+	stopMargin      = 700 * time.Millisecond
+	logFlushTimeout = 200 * time.Millisecond
+	// headerTimeout, idleTimeout and maxHeaderBytes bound a connection whatever operators
+	// set. They exceed the limits in the catalog, which the callers' handler enforces. A
+	// server that closed idle connections sooner would race with requests arriving on them.
+	headerTimeout   = 15 * time.Second
+	idleTimeout     = 2 * time.Minute
+	maxHeaderBytes  = 256 << 10
+	jobGroup        = "runners"
+	maxRunningItems = 256
 )
 
 // entryNode is one running entry.
 type entryNode struct {
 	set        *settings.Gateway
-	parts      GatewayParts
+	deps       GatewayParts
 	log        logging.Logger
 	metrics    *metrics.Set
 	view       *fleet.View
@@ -130,7 +134,7 @@
 	jobs       *jobstore.Store
 	routes     *jobroute.Router
 	runner     *runner.Runner
-	agents     *agentLinks
+	agentLinks *agentLinks
 	gateway    *gateway.Gateway
 	config     *store.Follower // of the configuration
 	access     *access.Gate
@@ -141,19 +145,19 @@
 	archive    *quarantine.Archive
 	copies     *fleet.Copies
 	tlsConf    *tls.Config
-	leaving    atomic.Bool
+	stopping   atomic.Bool
 }
 
 // RunGateway runs an entry on the users' platform until stop ends.
-func RunGateway(stop context.Context, reloads <-chan os.Signal, file string, set *settings.Gateway, parts GatewayParts) error {
+func RunGateway(stop context.Context, reloads <-chan os.Signal, file string, set *settings.Gateway, deps GatewayParts) error {
 	out := logging.NewAsync(os.Stdout)
-	defer out.Close(logFlush)
+	defer out.Close(logFlushTimeout)
 	limitMemory(set.MemoryMB)
 	base := logging.New(logging.Settings{Level: set.Log.Level, Format: set.Log.Format, Writer: out})
-	takeLibraryLog(base.Part("http"))
+	redirectStdLog(base.Part("http"))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	n, err := newEntryNode(ctx, set, parts, base)
+	n, err := newEntryNode(ctx, set, deps, base)
 	if err != nil {
 		return err
 	}
@@ -161,66 +165,66 @@
 	return n.run(ctx, cancel, stop, reloads, file)
 }
 
-func newEntryNode(ctx context.Context, set *settings.Gateway, parts GatewayParts, base logging.Logger) (*entryNode, error) {
+func newEntryNode(ctx context.Context, set *settings.Gateway, deps GatewayParts, base logging.Logger) (*entryNode, error) {
 	tlsConf, err := set.TLS.Config()
 	if err != nil {
 		return nil, err
 	}
 	ms := metrics.New(set.Name)
-	parts.Store = store.NewObserved(parts.Store, func(call, outcome string, took time.Duration) {
+	deps.Store = store.NewObserved(deps.Store, func(call, outcome string, took time.Duration) {
 		ms.Count("store_" + call + "_" + outcome)
 		ms.Observe("store_"+call, "", took)
 	})
-	n := &entryNode{set: set, parts: parts, tlsConf: tlsConf, log: base.Part("entry"), metrics: ms}
-	n.view = fleet.NewView(parts.Decoder, xxhash.Sum64String(set.Name), base.Part("fleet"), n.metrics)
+	n := &entryNode{set: set, deps: deps, tlsConf: tlsConf, log: base.Part("entry"), metrics: ms}
+	n.view = fleet.NewView(deps.Decoder, xxhash.Sum64String(set.Name), base.Part("fleet"), n.metrics)
 	linkCfg := link.Config{Node: set.Name, Incarnation: oplog.NewIncarnation(), TLS: tlsConf, Dial: netx.Dial}
 	n.ring = peers.NewRing(set.Peers, linkCfg, set.Seeds)
-	n.store = store.NewFailover(parts.Store, n.ring.Ways)
-	n.config = store.NewFollower(n.store, parts.Catalog, n.view.CatalogSink(), store.FollowSettings{
-		Wait: configWait(set), Clock: boottime.Now,
-		OnTrouble: func(err error) { n.trouble("configuration", err) },
-		OnContact: func(d time.Duration) { n.contact("configuration", d) },
+	n.store = store.NewFailover(deps.Store, n.ring.Ways)
+	n.config = store.NewFollower(n.store, deps.Catalog, n.view.CatalogSink(), store.FollowSettings{
+		Wait: configReadWait(set), Clock: boottime.Now,
+		OnTrouble: func(err error) { n.storeFailed("configuration", err) },
+		OnContact: func(d time.Duration) { n.storeRecovered("configuration", d) },
 	})
 	n.access = access.NewGate(access.Config{
 		Catalog: n.view.Catalog, Source: n.config, KeyLease: time.Duration(set.KeyLease), Clock: boottime.Now,
 	})
-	n.copies = fleet.NewCopies(n.store, parts.Copies, set.Store.Partitions, n.view, base.Part("fleet"))
+	n.copies = fleet.NewCopies(n.store, deps.Copies, set.Store.Partitions, n.view, base.Part("fleet"))
 	n.jobs = jobstore.New(ctx, n.store, jobstore.Settings{
-		Topic: parts.Jobs, ProgressTopic: parts.Progress, Partitions: set.Store.Partitions, CallBytes: set.Store.CallBytes,
+		Topic: deps.Jobs, ProgressTopic: deps.Progress, Partitions: set.Store.Partitions, CallBytes: set.Store.CallBytes,
 		Keep: time.Duration(set.KeepResults),
 	}, base.Part("jobs"))
 	n.routes = jobroute.New(jobroute.Config{
 		Self: set.Peers, Local: n.jobs, StoreAway: n.store.Away, PartitionOf: n.jobs.PartitionOf, Remote: peers.NewCaller(linkCfg),
 		Log: base.Part("jobs"), Metrics: n.metrics,
 	})
-	n.quarantine = quarantine.NewKeeper(quarantine.Config{Prober: parts.Sender, Log: base.Part("quarantine"), Metrics: n.metrics})
-	n.archive = quarantine.NewArchive(n.quarantine, n.store, parts.Quarantine, set.Store.Partitions, base.Part("quarantine"))
-	n.agents = newAgentLinks(linkCfg, set.AgentAddr, n.view, n.quarantine)
+	n.quarantine = quarantine.NewKeeper(quarantine.Config{Prober: deps.Sender, Log: base.Part("quarantine"), Metrics: n.metrics})
+	n.archive = quarantine.NewArchive(n.quarantine, n.store, deps.Quarantine, set.Store.Partitions, base.Part("quarantine"))
+	n.agentLinks = newAgentLinks(linkCfg, set.AgentAddr, n.view, n.quarantine)
 	n.runner = runner.New(runner.Config{
-		Member: set.Peers, Group: jobGroup, Store: n.jobs, Groups: n.store, View: n.view, Sender: parts.Sender,
-		Seats: n.agents, Quarantine: n.quarantine, Log: base.Part("batch"), Metrics: n.metrics,
-		Headers: parts.ItemHeader, MaxRunning: maxRunning,
+		Member: set.Peers, Group: jobGroup, Store: n.jobs, Groups: n.store, View: n.view, Sender: deps.Sender,
+		Seats: n.agentLinks, Quarantine: n.quarantine, Log: base.Part("batch"), Metrics: n.metrics,
+		Headers: deps.ItemHeader, MaxRunning: maxRunningItems,
 	})
-	n.agents.told = n.runner.Wake
-	n.limitRates(linkCfg, base.Part("limits"))
+	n.agentLinks.onFreeSlot = n.runner.Wake
+	n.setUpRateLimits(linkCfg, base.Part("limits"))
 	n.gateway = gateway.New(gateway.Config{
-		View: n.view, Sender: parts.Sender, Reserver: parts.Sender, Witness: n.agents, Quarantine: n.quarantine,
+		View: n.view, Sender: deps.Sender, Reserver: deps.Sender, Witness: n.agentLinks, Quarantine: n.quarantine,
 		Log: base.Part("online"), Metrics: n.metrics,
 	})
 	n.view.OnChange(func(all []targets.Instance) {
-		parts.Sender.Retain(all)
-		n.agents.set(ctx, all)
+		deps.Sender.Retain(all)
+		n.agentLinks.update(ctx, all)
 	})
 	return n, nil
 }
 
-// configWait returns how long a read of the configuration waits: less where it has to be
-// confirmed for keys, so that these reads do that as well.
-func configWait(set *settings.Gateway) time.Duration {
+// configReadWait returns how long a read of the configuration waits for records. With a
+// key lease it is short enough that the reads themselves renew the lease.
+func configReadWait(set *settings.Gateway) time.Duration {
 	if set.KeyLease == 0 {
-		return catalogWait
+		return storeReadWait
 	}
-	return min(catalogWait, time.Duration(set.KeyLease)/keyLeaseReads)
+	return min(storeReadWait, time.Duration(set.KeyLease)/readsPerKeyLease)
 }
 
 func (n *entryNode) run(ctx context.Context, cancel context.CancelFunc, stop context.Context, reloads <-chan os.Signal, file string) error {
@@ -228,14 +232,14 @@
 	if err != nil {
 		return err
 	}
-	front := n.httpServer(n.parts.Front(Front{Gateway: n.gateway, Access: n.access, Limiter: n.limiter, Jobs: n.routes, Catalog: n.view.Catalog, Limits: n.limits, Leaving: n.leaving.Load}))
-	ending := newDrain()
-	front.ConnState = ending.note
+	front := n.httpServer(n.deps.Front(Front{Gateway: n.gateway, Access: n.access, Limiter: n.limiter, Jobs: n.routes, Catalog: n.view.Catalog, Limits: n.limits, Leaving: n.stopping.Load}))
+	drainer := newConnDrainer()
+	front.ConnState = drainer.trackState
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return serve(ctx, front, listeners[0]) })
-	g.Go(func() error { return serve(ctx, n.httpServer(n.parts.Ready(n.ready)), listeners[1]) })
+	g.Go(func() error { return serve(ctx, n.httpServer(n.deps.Ready(n.ready)), listeners[1]) })
 	peerServer := &peers.Server{
-		Store: n.parts.Store, View: n.view, Jobs: &jobroute.Server{Local: n.jobs, StoreAway: n.store.Away, Reaches: n.store.Reaches},
+		Store: n.deps.Store, View: n.view, Jobs: &jobroute.Server{Local: n.jobs, StoreAway: n.store.Away, Reaches: n.store.Reaches},
 		Granter: n.granter, Acting: n.shards.Active,
 	}
 	g.Go(func() error {
@@ -244,7 +248,7 @@
 	ops := opsHandler(n.metrics, n.quarantine)
 	ops.HandleFunc("GET /limits", n.limitsHandler)
 	g.Go(func() error { return serve(ctx, n.httpServer(ops), listeners[3]) })
-	for _, loop := range []func(context.Context){n.follow, n.watchPeers, n.keepCopies, n.expire, n.renewKeys, n.shards.Run, n.runner.Run, n.quarantine.Run, n.archive.Run} {
+	for _, loop := range []func(context.Context){n.followStore, n.watchPeers, n.maintainCopies, n.expireTargets, n.renewKeyLease, n.shards.Run, n.runner.Run, n.quarantine.Run, n.archive.Run} {
 		g.Go(func() error { loop(ctx); return nil })
 	}
 	g.Go(func() error { onReload(ctx, reloads, n.log, func() error { return n.reload(file) }); return nil })
@@ -252,17 +256,19 @@
 	g.Go(func() error {
 		defer cancel()
 		if waitStop(ctx, stop) {
-			n.stop(ctx, func(bound context.Context) error { return ending.end(bound, listeners[0], front) })
+			n.stop(ctx, func(stopCtx context.Context) error { return drainer.shutdown(stopCtx, listeners[0], front) })
 		}
 		return nil
 	})
 	return g.Wait()
 }
 
+// ready reports whether the balancer may send new connections to this entry.
 func (n *entryNode) ready() bool {
-	return !n.leaving.Load() && n.view.Ready()
+	return !n.stopping.Load() && n.view.Ready()
 }
 
+// limits returns the limits of the catalog in force, the zero value while none is known.
 func (n *entryNode) limits() catalog.Limits {
 	if c := n.view.Catalog(); c != nil {
 		return c.Limits
@@ -270,17 +276,17 @@
 	return catalog.Limits{}
 }
 
-// httpServer returns a server with the bounds of this entry. What the library
-// logs is of single connections and reaches us as errors.
+// httpServer returns a server with the connection bounds of an entry. The server's own log
+// is discarded: it concerns single connections, whose failures are also returned as errors.
 func (n *entryNode) httpServer(h http.Handler) *http.Server {
 	return &http.Server{
-		Handler: h, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, MaxHeaderBytes: headerBytes,
+		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: stdlog.New(io.Discard, "", 0),
 	}
 }
 
-// reload takes what may change while running: the seeds. All else counts at the
-// next start.
+// reload applies the settings that may change while the process runs: the seeds. Other
+// changes take effect at the next start.
 func (n *entryNode) reload(file string) error {
 	var set settings.Gateway
 	if err := settings.Load(file, &set); err != nil {
@@ -291,29 +297,29 @@
 	return nil
 }
 
-// stop ends an entry so that nothing in progress is cut off: the balancer is told
-// first, batch work is handed over, and requests go on being served until their
-// answers are whole.
+// stop shuts an entry down without cutting off requests in progress. It fails the readiness
+// probe first and hands batch work and shards over; requests are served until their
+// responses are complete or the deadline is reached.
 func (n *entryNode) stop(ctx context.Context, drain func(context.Context) error) {
-	n.leaving.Store(true)
+	n.stopping.Store(true)
 	n.log.Info("stopping", logging.F("within_ms", time.Duration(n.set.StopWithin).Milliseconds()))
-	bound, cancel := context.WithTimeout(ctx, time.Duration(n.set.StopWithin)-lastBefore)
+	stopCtx, cancel := context.WithTimeout(ctx, time.Duration(n.set.StopWithin)-stopMargin)
 	defer cancel()
-	handed := make(chan struct{})
+	handedOver := make(chan struct{})
 	go func() {
-		defer close(handed)
-		var both sync.WaitGroup
-		both.Go(func() { n.shards.Leave(bound) })
-		both.Go(func() { n.runner.Leave(bound) })
-		both.Wait()
+		defer close(handedOver)
+		var wg sync.WaitGroup
+		wg.Go(func() { n.shards.Leave(stopCtx) })
+		wg.Go(func() { n.runner.Leave(stopCtx) })
+		wg.Wait()
 	}()
-	_ = wait.For(bound, balancerSees)
-	if err := drain(bound); err != nil {
-		n.log.Error("requests were cut off by the end of the stop", logging.F("error", err.Error()))
+	_ = wait.For(stopCtx, balancerDelay)
+	if err := drain(stopCtx); err != nil {
+		n.log.Error("shutdown deadline reached; requests were cut off", logging.F("error", err.Error()))
 	}
 	select {
-	case <-handed:
-	case <-bound.Done():
+	case <-handedOver:
+	case <-stopCtx.Done():
 	}
 	n.log.Info("stopped")
 }
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -14,17 +14,17 @@
 	"pumiceford/store"
 )
 
-// shardLease is how long a process may act for its shards without word from the store. A
-// shorter outage changes nothing.
+// shardLease is how long a process may act as owner of its shards without contact to the
+// store. A shorter store outage has no effect on rate limits.
 const shardLease = 4500 * time.Millisecond
 
-// limitRates sets up what keeps workspaces to their rate limits. It does nothing while no
-// workspace has one.
-func (n *entryNode) limitRates(cfg link.Config, out logging.Logger) {
+// setUpRateLimits creates the shard keeper, the granter and the limiter, which enforce the
+// rate limits of workspaces. They do nothing while no workspace has a limit.
+func (n *entryNode) setUpRateLimits(cfg link.Config, out logging.Logger) {
 	grants := peers.NewGrants(cfg)
 	count := n.set.Store.Partitions
 	n.shards = shards.NewKeeper(shards.Config{
-		Self: n.set.Peers, Shards: count, Lease: shardLease, Log: n.store, Part: store.Partition{Topic: n.parts.Shards},
+		Self: n.set.Peers, Shards: count, Lease: shardLease, Log: n.store, Part: store.Partition{Topic: n.deps.Shards},
 		Wanted:  func() bool { c := n.view.Catalog(); return c != nil && c.Limited() },
 		Watches: n.runner.Holds, Acts: grants.Acts, Clock: boottime.Now, Out: out, Metrics: n.metrics,
 	})
@@ -35,21 +35,21 @@
 	})
 }
 
-// Limits is what operators are told of keys and rate limits at a process.
+// Limits is the report on keys and rate limits at one process, for operators.
 type Limits struct {
-	// ConfirmedSecondsAgo is when the configuration was last known to be the newest, -1 for
-	// never.
+	// ConfirmedSecondsAgo is the time in seconds since the configuration was last confirmed
+	// to be the newest; -1 means never.
 	ConfirmedSecondsAgo float64            `json:"confirmed_seconds_ago"`
-	Grants              []ratelimit.Use    `json:"grants"`  // given out here
-	Demands             []ratelimit.Demand `json:"demands"` // of callers that come here
+	Grants              []ratelimit.Use    `json:"grants"`  // issued by this process
+	Demands             []ratelimit.Demand `json:"demands"` // of the callers of this process
 }
 
-// limitsHandler serves the limits of an entry.
+// limitsHandler serves the Limits report of an entry as JSON.
 func (n *entryNode) limitsHandler(w http.ResponseWriter, _ *http.Request) {
-	told := Limits{ConfirmedSecondsAgo: -1, Grants: n.granter.Uses(), Demands: n.limiter.Demands()}
+	report := Limits{ConfirmedSecondsAgo: -1, Grants: n.granter.Uses(), Demands: n.limiter.Demands()}
 	if age, ok := n.access.Age(); ok {
-		told.ConfirmedSecondsAgo = age.Seconds()
+		report.ConfirmedSecondsAgo = age.Seconds()
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(told) // an operator who left reads nothing
+	_ = json.NewEncoder(w).Encode(report) // fails only when the client has disconnected
 }
--- a/daemon/process.go
+++ b/daemon/process.go
@@ -16,32 +16,33 @@
 	"pumiceford/settings"
 )
 
-// memoryShare is the part of a process's limit that the runtime stays under by
-// collecting sooner.
-const memoryShare = 0.8
+// memoryFraction is the fraction of a process's memory limit that the runtime uses as its
+// soft limit.
+const memoryFraction = 0.8
 
-// limitMemory makes the runtime collect before the platform kills the process.
+// limitMemory makes the garbage collector run before the process reaches the limit at
+// which the platform kills it. A value of 0 sets no limit.
 func limitMemory(megabytes int) {
 	if megabytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(megabytes<<20)))
+		debug.SetMemoryLimit(int64(memoryFraction * float64(megabytes<<20)))
 	}
 }
 
-// takeLibraryLog sends what libraries write to the standard log, such as answers
-// that nobody asked for, to ours.
-func takeLibraryLog(log logging.Logger) {
+// redirectStdLog sends what libraries write to the standard log, such as reports of
+// unsolicited responses, to log.
+func redirectStdLog(log logging.Logger) {
 	stdlog.SetFlags(0)
-	stdlog.SetOutput(libraryLog{log})
+	stdlog.SetOutput(stdLogWriter{log})
 }
 
-type libraryLog struct{ log logging.Logger }
+type stdLogWriter struct{ log logging.Logger }
 
-// libraryLineBytes bounds one line: it may quote what a target sent.
-const libraryLineBytes = 120
+// maxStdLogLineBytes bounds one line, which may quote data that a target sent.
+const maxStdLogLineBytes = 120
 
 // Write implements io.Writer.
-func (l libraryLog) Write(p []byte) (int, error) {
-	l.log.Warn("library reports", logging.F("text", string(p[:min(len(p), libraryLineBytes)])))
+func (l stdLogWriter) Write(p []byte) (int, error) {
+	l.log.Warn("library log line", logging.F("text", string(p[:min(len(p), maxStdLogLineBytes)])))
 	return len(p), nil
 }
 
@@ -57,7 +58,8 @@
 	return out, nil
 }
 
-// serve serves until ctx ends.
+// serve serves on ln until ctx ends. After a graceful shutdown it waits for the end of
+// ctx, so that the process stays up until its stop is complete.
 func serve(ctx context.Context, s *http.Server, ln net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.Close() })
 	defer stop()
@@ -66,13 +68,13 @@
 		return nil
 	}
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
-		<-ctx.Done() // a graceful stop goes on
+		<-ctx.Done() // a graceful shutdown is in progress
 		return nil
 	}
 	return err
 }
 
-// opsHandler serves the metrics of a process, and the requests that it holds.
+// opsHandler serves the metrics of a process and its quarantined requests.
 func opsHandler(ms *metrics.Set, k *quarantine.Keeper) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(ms.Registry, promhttp.HandlerOpts{}))
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -8,15 +8,16 @@
 	"pumiceford/quarantine"
 )
 
-// HeldRequest is what operators are told of a request that crashes are counted against.
+// HeldRequest describes to operators a request that crashes of targets are attributed to.
 type HeldRequest struct {
 	Key     string    `json:"key"`
 	Held    bool      `json:"held"`
-	Until   time.Time `json:"until"`   // when it may run again, if it is held
-	Crashed []string  `json:"crashed"` // instances that crashed under it, the first one first
+	Until   time.Time `json:"until"`   // end of the hold, if the request is held
+	Crashed []string  `json:"crashed"` // instances that crashed while running it, oldest first
 }
 
-// quarantineHandler lists the requests that crashes are counted against, and clears one.
+// quarantineHandler registers the endpoints that list the requests to which crashes are
+// attributed, and that clear one of them.
 func quarantineHandler(mux *http.ServeMux, k *quarantine.Keeper) {
 	mux.HandleFunc("GET /quarantine", func(w http.ResponseWriter, _ *http.Request) {
 		all := []HeldRequest{}
@@ -28,7 +29,7 @@
 			all = append(all, r)
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(all) // an operator who left reads nothing
+		_ = json.NewEncoder(w).Encode(all) // fails only when the client has disconnected
 	})
 	mux.HandleFunc("DELETE /quarantine/{key}", func(w http.ResponseWriter, r *http.Request) {
 		key, err := quarantine.ParseKey(r.PathValue("key"))
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -12,15 +12,16 @@
 	"pumiceford/targets"
 )
 
-type gone struct{}
+// crashedProber reports every instance as crashed.
+type crashedProber struct{}
 
-func (gone) Crashed(context.Context, targets.Instance) bool { return true }
+func (crashedProber) Crashed(context.Context, targets.Instance) bool { return true }
 
-// Operators see which request is held, at which crashes, and let it run again. What is no
-// key, and what is not held, is told apart.
-func TestOperatorsSeeAndClearHeldRequests(t *testing.T) {
+// Operators can list held requests with the crashed instances, and clear them. An invalid
+// key is answered with 400, a key without a record with 404.
+func TestListAndClearHeldRequests(t *testing.T) {
 	ms := metrics.New("n")
-	k := quarantine.NewKeeper(quarantine.Config{Prober: gone{}, Metrics: ms})
+	k := quarantine.NewKeeper(quarantine.Config{Prober: crashedProber{}, Metrics: ms})
 	key := quarantine.NewKey("", "POST", "h", "/", nil)
 	for _, id := range []string{"a", "b", "c"} {
 		k.Broke(t.Context(), quarantine.Run{Key: key, Target: targets.Instance{ID: id}})
@@ -36,7 +37,7 @@
 		t.Fatal(err)
 	}
 	if len(all) != 1 || all[0].Key != key.String() || !all[0].Held || len(all[0].Crashed) != 3 {
-		t.Fatalf("listed: %+v", all)
+		t.Fatalf("got %+v, want the held request with 3 crashes", all)
 	}
 	for _, c := range []struct {
 		path string
@@ -47,10 +48,10 @@
 		{"/quarantine/" + key.String(), http.StatusNotFound},
 	} {
 		if w := call("DELETE", c.path); w.Code != c.want {
-			t.Errorf("%s: %d, want %d", c.path, w.Code, c.want)
+			t.Errorf("DELETE %s: status %d, want %d", c.path, w.Code, c.want)
 		}
 	}
 	if _, held := k.Held(key); held {
-		t.Error("still held")
+		t.Error("request is still held after it was cleared")
 	}
 }
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -9,16 +9,18 @@
 	"pumiceford/logging"
 )
 
-// Reloads returns the SIGHUPs that come from now on. Every process has to take the
-// signal: left alone it ends the process. So a command calls this before anything else,
-// and above all before it reads its settings: one that comes while it starts is kept.
+// Reloads starts catching SIGHUP and returns the channel on which the signals arrive. An
+// uncaught SIGHUP terminates the process, so a command calls this first, before it reads
+// its settings. The channel buffers one signal, so a reload requested during start-up is
+// not lost.
 func Reloads() <-chan os.Signal {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	return hup
 }
 
-// onReload calls reload for each signal until ctx ends.
+// onReload calls reload for each signal until ctx ends. A failed reload is logged and
+// does not end the loop.
 func onReload(ctx context.Context, signals <-chan os.Signal, log logging.Logger, reload func() error) {
 	for {
 		select {
@@ -27,7 +29,7 @@
 		case <-signals:
 		}
 		if err := reload(); err != nil {
-			log.Error("settings not taken; those in force stay", logging.F("error", err.Error()))
+			log.Error("settings reload failed; keeping the current settings", logging.F("error", err.Error()))
 			continue
 		}
 		log.Info("settings checked")
--- a/daemon/reload_test.go
+++ b/daemon/reload_test.go
@@ -12,32 +12,31 @@
 	"pumiceford/logging"
 )
 
-// Symptom: a process ends (exit 129) although each of its parts takes the signal.
-// Sequence: SIGHUP comes while the process starts, after its first log line.
-// Cause: the signal was only caught once the loop ran that waits for it.
-func TestAReloadDuringTheStartIsKept(t *testing.T) {
+// Guards against a SIGHUP during start-up, after the first log line, that terminates the
+// process with status 129. That happens if the signal is caught only once the loop that
+// waits for it runs.
+func TestReloadDuringStartupIsKept(t *testing.T) {
 	signals := Reloads()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	taken := make(chan struct{})
+	reloaded := make(chan struct{})
 	go onReload(ctx, signals, logging.Logger{}, func() error {
-		close(taken)
+		close(reloaded)
 		return nil
 	})
 	select {
-	case <-taken:
+	case <-reloaded:
 	case <-ctx.Done():
-		t.Fatal("the signal is lost")
+		t.Fatal("the signal was lost")
 	}
 }
 
-// Symptom: settings with a mistake end the process that was told to take them, or the
-// next good ones are not taken.
-// Cause guarded against: a loop that ends with the first error.
-func TestAReloadThatFailsEndsNothing(t *testing.T) {
+// Guards against a reload loop that ends with the first error: invalid settings would then
+// end the process, or later valid settings would not be applied.
+func TestFailedReloadKeepsLoopRunning(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	signals := make(chan os.Signal)
@@ -53,7 +52,7 @@
 	for want := 1; want <= 2; want++ {
 		signals <- syscall.SIGHUP
 		if got := <-calls; got != want {
-			t.Fatalf("call %d, want %d", got, want)
+			t.Fatalf("got reload call %d, want %d", got, want)
 		}
 	}
 }
--- a/daemon/seatagent.go
+++ b/daemon/seatagent.go
@@ -28,7 +28,7 @@
 		return err
 	}
 	out := logging.NewAsync(os.Stdout)
-	defer out.Close(logFlush)
+	defer out.Close(logFlushTimeout)
 	limitMemory(set.MemoryMB)
 	log := logging.New(logging.Settings{Level: set.Log.Level, Format: set.Log.Format, Writer: out}).Part("agent")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -36,26 +36,26 @@
 	g, ctx := errgroup.WithContext(ctx)
 	ms := metrics.New(set.Name)
 	a := seats.NewAgent(seats.AgentConfig{Name: set.Name, Gauge: gauge, Log: log, Metrics: ms})
-	held := quarantine.NewKeeper(quarantine.Config{Log: log.Part("quarantine"), Metrics: ms})
+	tracker := quarantine.NewKeeper(quarantine.Config{Log: log.Part("quarantine"), Metrics: ms})
 	handle := func(ctx context.Context, class link.Class, call *wire.Call, st *link.Stream) {
 		if call.GetMarks() != nil {
-			held.Exchange(ctx, st)
+			tracker.Exchange(ctx, st)
 			return
 		}
 		a.Handle(ctx, class, call, st)
 	}
 	g.Go(func() error { a.Run(ctx); return nil })
-	g.Go(func() error { held.Run(ctx); return nil })
+	g.Go(func() error { tracker.Run(ctx); return nil })
 	g.Go(func() error {
 		return link.Serve(ctx, listeners[0], link.Config{Node: set.Name, Handle: handle, TLS: tlsConf})
 	})
 	g.Go(func() error {
-		return serve(ctx, &http.Server{Handler: opsHandler(ms, held), ReadHeaderTimeout: headerTime}, listeners[1])
+		return serve(ctx, &http.Server{Handler: opsHandler(ms, tracker), ReadHeaderTimeout: headerTimeout}, listeners[1])
 	})
 	g.Go(func() error {
 		onReload(ctx, reloads, log, func() error {
-			// Nothing of an agent's settings changes while it runs; they are
-			// checked, so that a mistake shows before the next start.
+			// No setting of an agent can change while it runs. The file is only
+			// validated, so that an error shows before the next start.
 			return settings.Load(file, &settings.SeatAgent{})
 		})
 		return nil
@@ -66,7 +66,7 @@
 		if waitStop(ctx, stop) {
 			log.Info("stopping")
 			a.Leave()
-			_ = wait.For(ctx, lastWords)
+			_ = wait.For(ctx, connFlushDelay)
 			log.Info("stopped")
 		}
 		return nil
--- a/daemon/standin.go
+++ b/daemon/standin.go
@@ -20,7 +20,7 @@
 			return err
 		}
 		h := httpx.NewServer(ln, standin.MaxBody)
-		log, hosts, weights := NewPlatform(p)
+		log, hosts, weights := NewStandinPlatform(p)
 		standin.RoutePlatform(h, log, hosts, weights)
 		g.Go(func() error { return httpx.Serve(ctx, h) })
 	}
@@ -30,7 +30,7 @@
 			return err
 		}
 		h := httpx.NewServer(ln, standin.MaxBody)
-		standin.RouteEngine(h, NewEngine(ctx, e))
+		standin.RouteEngine(h, NewStandinEngine(ctx, e))
 		g.Go(func() error { return httpx.Serve(ctx, h) })
 	}
 	for _, s := range set.Services {
@@ -48,11 +48,12 @@
 // Defaults of the weight store's stand-in.
 const (
 	defaultWeightBytes = 100 << 20
-	defaultWeightRate  = 1 << 30
+	defaultWeightRate  = 1 << 30 // bytes per second
 )
 
-// NewPlatform builds the platform's stand-ins from settings.
-func NewPlatform(p *settings.StandinPlatform) (*standin.Log, *standin.HostList, *standin.Weights) {
+// NewStandinPlatform builds the stand-ins of the platform's log, host list and weight
+// store from settings.
+func NewStandinPlatform(p *settings.StandinPlatform) (*standin.Log, *standin.HostList, *standin.Weights) {
 	log := standin.NewLog(standin.LogSettings{
 		AppendsPerSecond: p.AppendsPerSecond,
 		Retention:        time.Duration(p.Retention),
@@ -68,8 +69,8 @@
 	return log, standin.NewHostList(time.Duration(p.HostLag), p.Hosts...), weights
 }
 
-// NewEngine builds an engine's stand-in from settings.
-func NewEngine(ctx context.Context, e settings.StandinEngine) *standin.Engine {
+// NewStandinEngine builds the stand-in of an engine from settings.
+func NewStandinEngine(ctx context.Context, e settings.StandinEngine) *standin.Engine {
 	return standin.NewEngine(ctx, standin.EngineSettings{
 		Models:     e.Models,
 		StepBase:   time.Duration(e.Step),
