--- a/internal/defaults/defaults.go
+++ b/internal/defaults/defaults.go
@@ -1,7 +1,7 @@
-// Package defaults fills in settings that were left out.
+// Package defaults fills in settings that are not set.
 package defaults
 
-// Set gives *v the value def when it is the zero value.
+// Set sets *v to def if *v is the zero value.
 func Set[T comparable](v *T, def T) {
 	var zero T
 	if *v == zero {
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds the pauses that every part uses.
+// Package wait provides delays that end with a context.
 package wait
 
 import (
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// For waits for d or until ctx ends, and returns the context's error. Without a time to
-// wait it takes no timer: to select on one that has fired already crashes the runtime of
-// Go 1.26.8 under the race detector in a synctest bubble, a few times in a thousand runs
-// of a test (SIGSEGV in timer.maybeRunChan).
+// For waits for d or until ctx ends. It returns the error of ctx if ctx ended, else nil. It
+// creates no timer if d is not positive: a select on a timer that has already fired crashes
+// the runtime of Go 1.26.8 under the race detector in a synctest bubble, a few times in a
+// thousand runs of a test (SIGSEGV in timer.maybeRunChan).
 func For(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
@@ -24,8 +24,8 @@
 	}
 }
 
-// ForChange waits until changed is closed or received from, for at most d or until ctx
-// ends. It reports whether that came. Without a time to wait it takes no timer, as For.
+// ForChange waits until changed is closed or delivers a value, for at most d or until ctx
+// ends. It reports whether changed did. Like For, it creates no timer if d is not positive.
 func ForChange(ctx context.Context, changed <-chan struct{}, d time.Duration) bool {
 	if d <= 0 {
 		return false
--- a/link/hello.go
+++ b/link/hello.go
@@ -13,12 +13,11 @@
 	"pumiceford/wire"
 )
 
-// maxHelloBytes bounds the first message of a connection.
+// maxHelloBytes bounds the hello message that opens a connection.
 const maxHelloBytes = 1024
 
-// writeHello sends the first message: two bytes of length, then the message.
-// It cannot use the buffered stream reader, because the bytes after it belong
-// to yamux.
+// writeHello sends the hello message: a big-endian 16-bit length, then the message.
+// The reader of this message must not buffer, because the bytes after it belong to yamux.
 func writeHello(conn net.Conn, cfg Config, class Class) error {
 	body, err := proto.Marshal(&wire.Hello{
 		Node:        cfg.Node,
@@ -35,6 +34,8 @@
 	return err
 }
 
+// readHello reads the hello message and returns its class. It reports false if the message
+// is invalid, names an unknown class or does not arrive within helloTimeout.
 func readHello(conn net.Conn) (Class, bool) {
 	_ = conn.SetReadDeadline(time.Now().Add(helloTimeout))
 	defer func() { _ = conn.SetReadDeadline(time.Time{}) }()
--- a/link/link.go
+++ b/link/link.go
@@ -1,13 +1,12 @@
-// Package link keeps yamux sessions between our processes and watches that they
-// are alive.
+// Package link maintains yamux sessions between the processes of a fleet and monitors
+// them with heartbeats.
 //
-// A pair of processes keeps one session for each class of traffic, so that a
-// large batch result cannot stand before an online token. On every session the
-// dialling side sends heartbeats, often while streams are open and seldom
-// otherwise, and the other side echoes them with its own status. A session whose
-// heartbeat goes unanswered for SilentAfter is closed: a connection can go silent
-// for good while new ones work, and TCP alone would notice only after many
-// minutes.
+// A pair of processes has one session for each class of traffic, so that a large batch
+// result does not delay an online token. On every session the dialling side sends
+// heartbeats, at a shorter interval while streams are open, and the accepting side echoes
+// them with its own status. A session whose heartbeat is not echoed within
+// Config.SilentAfter is closed: a connection can stop delivering data for good while new
+// connections work, and TCP alone would detect that only after many minutes.
 package link
 
 import (
@@ -28,7 +27,7 @@
 // Class is the kind of traffic on a session.
 type Class string
 
-// The classes.
+// The traffic classes.
 const (
 	Online  Class = "online"
 	Batch   Class = "batch"
@@ -41,41 +40,42 @@
 // DialFunc connects to an address.
 type DialFunc func(ctx context.Context, addr string) (net.Conn, error)
 
-// Config says how a node keeps its sessions.
+// Config configures the sessions of a node.
 type Config struct {
 	Node        string
 	Incarnation oplog.Incarnation
-	TLS         *tls.Config // nil means plain connections, for loopback only
+	TLS         *tls.Config // nil means connections without TLS, for loopback only
 	Dial        DialFunc    // nil means TCP
 
-	// HeartbeatEvery is the interval of heartbeats on a session with open
-	// streams, default 500 ms.
+	// HeartbeatEvery is the heartbeat interval on a session with open streams,
+	// default 500 ms.
 	HeartbeatEvery time.Duration
-	// IdleEvery is the interval on a session without, default 2 s. Idle sessions
-	// are most of the fleet's, and their heartbeats most of what control costs.
+	// IdleEvery is the heartbeat interval on a session without open streams,
+	// default 2 s. Most sessions of a fleet are idle, and their heartbeats are most
+	// of the control traffic.
 	IdleEvery time.Duration
 	// SilentAfter is how long a heartbeat may go unanswered before the session
 	// is closed, default 2 s.
 	SilentAfter time.Duration
 	DialTimeout time.Duration // default 2 s
 
-	// Status returns what this node says of itself on heartbeats.
+	// Status returns the status of this node, which heartbeats carry.
 	Status func() *wire.NodeStatus
-	// OnStatus receives what a peer says of itself. The address is empty for
-	// peers that dialled us.
-	// The status is nil when it is the one told before.
+	// OnStatus is called with the status of a peer at each heartbeat on a control
+	// session; a nil status means unchanged. The address is empty for a peer that
+	// dialled this node.
 	OnStatus func(addr string, st *wire.NodeStatus)
-	// OnLost is told the address of a peer that Keep holds a session to and that
-	// was lost or cannot be dialled.
+	// OnLost is called with the address of a peer whose session, held open by
+	// Peer.Keep, was lost or cannot be dialled.
 	OnLost func(addr string)
-	// Handle serves a stream that the peer opened. It may be nil.
+	// Handle serves a stream that the peer opened. If it is nil, the stream is closed.
 	Handle Handler
 }
 
 // Handler serves one stream. The stream is closed when it returns.
 type Handler func(ctx context.Context, class Class, call *wire.Call, st *Stream)
 
-// Defaults of Config.
+// Default values of Config, and the time within which the hello message has to arrive.
 const (
 	DefaultHeartbeatEvery = 500 * time.Millisecond
 	DefaultIdleEvery      = 2 * time.Second
@@ -84,7 +84,7 @@
 	helloTimeout          = 2 * time.Second
 )
 
-// DialError says that no session could be opened. Nothing was sent.
+// DialError reports that no session could be opened. The call was not sent.
 type DialError struct {
 	Addr  string
 	Cause error
@@ -92,7 +92,7 @@
 
 // Error implements error.
 func (e *DialError) Error() string {
-	return "no session to " + e.Addr + ": " + e.Cause.Error()
+	return "cannot open a session to " + e.Addr + ": " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
@@ -100,7 +100,7 @@
 	return e.Cause
 }
 
-// ErrClosed says that the session or peer was closed.
+// ErrClosed is returned for calls on a Peer that was closed.
 var ErrClosed = errors.New("link closed")
 
 func (c Config) withDefaults() Config {
@@ -128,7 +128,7 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// Stream is one message stream in a session.
+// Stream is one message stream within a session.
 type Stream struct {
 	conn *yamux.Stream
 	rd   *wire.Reader
@@ -153,29 +153,29 @@
 	return s.rd.Read(m)
 }
 
-// SetDeadline bounds all later reads and writes.
+// SetDeadline sets the deadline of all later reads and writes; the zero time removes it.
 func (s *Stream) SetDeadline(t time.Time) {
 	// yamux.Stream.SetDeadline never fails.
 	_ = s.conn.SetDeadline(t)
 }
 
-// closeReadAfter is how soon a Recv returns that is blocked when its stream is
-// closed. It is not zero: a deadline in the past makes yamux select on a timer
-// that has fired already, and under the race detector that crashed the runtime of
-// Go 1.26.8 inside synctest bubbles (a fault in its own bookkeeping of timers).
-const closeReadAfter = time.Millisecond
+// closeReadDelay is the time within which a blocked Recv returns after its stream was
+// closed. It is not zero: with a deadline in the past, yamux selects on a timer that has
+// already fired, which under the race detector crashes the runtime of Go 1.26.8 in
+// synctest bubbles (a fault in the runtime's bookkeeping of timers).
+const closeReadDelay = time.Millisecond
 
-// Close closes both directions. A blocked Recv returns within closeReadAfter.
+// Close closes both directions. A blocked Recv returns within closeReadDelay.
 func (s *Stream) Close() {
-	// Past this point nobody reads the stream, so a failed close changes nothing.
+	// The stream is not used after this, so a failed close has no effect.
 	_ = s.conn.Close()
-	_ = s.conn.SetReadDeadline(time.Now().Add(closeReadAfter))
+	_ = s.conn.SetReadDeadline(time.Now().Add(closeReadDelay))
 }
 
 func yamuxConfig() *yamux.Config {
 	cfg := yamux.DefaultConfig()
-	cfg.EnableKeepAlive = false // our own heartbeats also carry status
-	cfg.LogOutput = io.Discard  // session errors reach us through the streams
+	cfg.EnableKeepAlive = false // replaced by heartbeats, which also carry status
+	cfg.LogOutput = io.Discard  // session errors are returned by the streams
 	cfg.ConnectionWriteTimeout = 5 * time.Second
 	cfg.StreamOpenTimeout = 5 * time.Second
 	cfg.StreamCloseTimeout = 10 * time.Second
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -24,7 +24,7 @@
 	"pumiceford/wire"
 )
 
-// authority signs certificates for the test.
+// authority is a certificate authority for a test.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -51,7 +51,8 @@
 	return &authority{cert: cert, key: key}
 }
 
-// files writes a certificate of this authority as settings name it.
+// files issues a certificate, writes it with its key and the authority's certificate, and
+// returns settings that name the files.
 func (a *authority) files(t *testing.T) *settings.TLS {
 	t.Helper()
 	dir := t.TempDir()
@@ -95,43 +96,44 @@
 	return cfg
 }
 
-// echo answers a revoke, so that a test sees a call go through.
-func echo(_ context.Context, _ Class, _ *wire.Call, st *Stream) {
+// replyRevoked answers a revoke call, so that a test can verify a round trip.
+func replyRevoked(_ context.Context, _ Class, _ *wire.Call, st *Stream) {
 	_ = st.Send(&wire.Revoked{Ran: wire.Ran_RAN_NO})
 }
 
-func askEcho(ctx context.Context, p *Peer) error {
+// callPeer sends a revoke call and checks the reply of replyRevoked.
+func callPeer(ctx context.Context, p *Peer) error {
 	reply := &wire.Revoked{}
 	call := &wire.Call{Kind: &wire.Call_Revoke{Revoke: &wire.Revoke{}}}
 	if err := p.Call(ctx, Online, call, reply); err != nil {
 		return err
 	}
 	if reply.GetRan() != wire.Ran_RAN_NO {
-		return errors.New("another reply")
+		return errors.New("unexpected reply")
 	}
 	return nil
 }
 
-// quietConn can be made to lose everything that is written to it.
-type quietConn struct {
+// lossyConn discards everything that is written to it while dropping is set.
+type lossyConn struct {
 	net.Conn
-	quiet *atomic.Bool
+	dropping *atomic.Bool
 }
 
-func (c quietConn) Write(p []byte) (int, error) {
-	if c.quiet.Load() {
+func (c lossyConn) Write(p []byte) (int, error) {
+	if c.dropping.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// Symptom: requests hang for minutes although the target is well. Sequence:
-// something between the two ends forgets an open connection, in one direction or
-// both; new connections work. Cause guarded against: waiting for TCP to notice.
-func TestSilentSessionIsReplaced(t *testing.T) {
-	// yamux keeps timers in a pool of the whole process, and a timer of a bubble must not
-	// be met outside. Two collections empty the pool. This test comes first in the
-	// package, since a stream that was closed outside uses the pool 10 s later once more.
+// Guards against requests that hang for minutes although the target is healthy. A device on
+// the network path drops an open connection without a reset, in one direction or both,
+// while new connections work. TCP alone detects that only after minutes.
+func TestReplacesSilentSession(t *testing.T) {
+	// yamux keeps timers in a process-wide pool, and a timer of a synctest bubble must not be
+	// used outside it. Two garbage collections empty the pool. This test has to be the first
+	// of the package: a stream closed outside a bubble uses the pool again 10 s later.
 	emptyPool := func() { runtime.GC(); runtime.GC() }
 	defer emptyPool()
 	for name, lost := range map[string]struct{ near, far bool }{"to the peer": {near: true}, "from the peer": {far: true}, "both ways": {true, true}} {
@@ -142,83 +144,83 @@
 				cancel()
 				time.Sleep(time.Minute)
 			}()
-			var nearQuiet, farQuiet *atomic.Bool
+			var nearDrops, farDrops *atomic.Bool
 			dials := 0
 			cfg := Config{Dial: func(context.Context, string) (net.Conn, error) {
 				a, b := net.Pipe()
 				dials++
-				nearQuiet, farQuiet = &atomic.Bool{}, &atomic.Bool{}
-				go ServeConn(ctx, quietConn{b, farQuiet}, Config{Handle: echo})
-				return quietConn{a, nearQuiet}, nil
+				nearDrops, farDrops = &atomic.Bool{}, &atomic.Bool{}
+				go ServeConn(ctx, lossyConn{b, farDrops}, Config{Handle: replyRevoked})
+				return lossyConn{a, nearDrops}, nil
 			}}
 			p := NewPeer(cfg, "peer")
 			defer p.Close()
-			if err := askEcho(ctx, p); err != nil {
+			if err := callPeer(ctx, p); err != nil {
 				t.Fatal(err)
 			}
-			// Silence that begins inside a frame leaves its reader with yamux's lock and
-			// another one waiting for that lock. The bubble's time stands still for
-			// such a wait, and the test hung. TestASessionCutInAFrameIsReplaced has
-			// this case in real time.
+			// Losses that begin within a frame leave its reader holding a lock of yamux
+			// while another goroutine waits for that lock. The virtual time of a bubble does
+			// not advance during such a wait, so the test would hang.
+			// TestReplacesSessionCutWithinFrame covers this case in real time.
 			synctest.Wait()
-			nearQuiet.Store(lost.near)
-			farQuiet.Store(lost.far)
-			began := time.Now()
+			nearDrops.Store(lost.near)
+			farDrops.Store(lost.far)
+			start := time.Now()
 			for {
-				short, stop := context.WithTimeout(ctx, 500*time.Millisecond)
-				err := askEcho(short, p)
-				stop()
+				callCtx, cancelCall := context.WithTimeout(ctx, 500*time.Millisecond)
+				err := callPeer(callCtx, p)
+				cancelCall()
 				if err == nil {
 					break
 				}
-				if time.Since(began) > DefaultIdleEvery+2*DefaultSilentAfter {
-					t.Fatalf("%s: still silent after %s", name, time.Since(began))
+				if time.Since(start) > DefaultIdleEvery+2*DefaultSilentAfter {
+					t.Fatalf("%s: session not replaced after %s", name, time.Since(start))
 				}
 			}
 			if dials != 2 {
-				t.Fatalf("%s: %d dials", name, dials)
+				t.Fatalf("%s: got %d dials, want 2", name, dials)
 			}
 		})
 	}
 }
 
-// Symptom: a stranger on the network gives orders to an agent. Sequence: a
-// process without a certificate of our authority, or with one of another, dials.
-// Cause guarded against: a side that is not checked.
-func TestBothSidesAreChecked(t *testing.T) {
+// Guards against an agent that accepts calls from an unauthorised process: one without a
+// certificate, or with a certificate of another authority. Both sides have to verify the
+// certificate of the other.
+func TestRefusesUnknownCertificates(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	ours, theirs := newAuthority(t), newAuthority(t)
+	trusted, untrusted := newAuthority(t), newAuthority(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = Serve(ctx, ln, Config{TLS: loadTLS(t, ours.files(t)), Handle: echo}) }()
-	good := NewPeer(Config{TLS: loadTLS(t, ours.files(t))}, ln.Addr().String())
-	defer good.Close()
-	if err := askEcho(ctx, good); err != nil {
-		t.Fatalf("our own certificate: %v", err)
+	go func() { _ = Serve(ctx, ln, Config{TLS: loadTLS(t, trusted.files(t)), Handle: replyRevoked}) }()
+	peer := NewPeer(Config{TLS: loadTLS(t, trusted.files(t))}, ln.Addr().String())
+	defer peer.Close()
+	if err := callPeer(ctx, peer); err != nil {
+		t.Fatalf("call with a certificate of the trusted authority: %v", err)
 	}
-	state := loadTLS(t, ours.files(t))
-	if state.MinVersion != tls.VersionTLS13 {
-		t.Fatal("older versions of TLS are allowed")
+	cfg := loadTLS(t, trusted.files(t))
+	if cfg.MinVersion != tls.VersionTLS13 {
+		t.Fatal("TLS versions below 1.3 are allowed")
 	}
-	for name, cfg := range map[string]*tls.Config{"another authority": loadTLS(t, theirs.files(t)), "no tls": nil} {
+	for name, cfg := range map[string]*tls.Config{"another authority": loadTLS(t, untrusted.files(t)), "no tls": nil} {
 		p := NewPeer(Config{TLS: cfg, SilentAfter: time.Second}, ln.Addr().String())
-		short, stop := context.WithTimeout(ctx, 3*time.Second)
-		if err := askEcho(short, p); err == nil {
-			t.Errorf("%s: the call went through", name)
+		callCtx, cancelCall := context.WithTimeout(ctx, 3*time.Second)
+		if err := callPeer(callCtx, p); err == nil {
+			t.Errorf("%s: the call succeeded, want an error", name)
 		}
-		stop()
+		cancelCall()
 		p.Close()
 	}
 }
 
-// yamuxHeader is the length of a frame's header, which yamux writes by itself.
-const yamuxHeader = 12
+// yamuxHeaderBytes is the length of a frame's header, which yamux writes in a separate call.
+const yamuxHeaderBytes = 12
 
-// cutConn loses all that is written after the next header of a frame with a body, once
-// it is armed.
+// cutConn discards, once it is armed, everything that is written after the next header of
+// a data frame.
 type cutConn struct {
 	net.Conn
 	armed, cut *atomic.Bool
@@ -229,24 +231,24 @@
 		return len(p), nil
 	}
 	n, err := c.Conn.Write(p)
-	const typeAt, data = 1, 0 // the second byte of a header tells frames with data
-	if len(p) == yamuxHeader && p[typeAt] == data && c.armed.Load() {
+	const typeOffset, dataFrame = 1, 0 // the second byte of a header is the frame type
+	if len(p) == yamuxHeaderBytes && p[typeOffset] == dataFrame && c.armed.Load() {
 		c.cut.Store(true)
 	}
 	return n, err
 }
 
-// Symptom: requests hang although the target is well. Sequence: a connection goes silent
-// in the middle of a frame, so that its reader waits for the rest. Cause guarded
-// against: a reader that holds a lock keeps the watch over the session from closing it.
-func TestASessionCutInAFrameIsReplaced(t *testing.T) {
+// Guards against requests that hang although the target is healthy. A connection stops
+// delivering data in the middle of a frame, so that its reader waits for the rest. The
+// reader holds a lock, which must not keep the heartbeat check from closing the session.
+func TestReplacesSessionCutWithinFrame(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	var armed, cut *atomic.Bool
 	var dials atomic.Int32
 	cfg := Config{HeartbeatEvery: 20 * time.Millisecond, IdleEvery: 20 * time.Millisecond, SilentAfter: 200 * time.Millisecond}
 	far := cfg
-	far.Handle = echo
+	far.Handle = replyRevoked
 	cfg.Dial = func(context.Context, string) (net.Conn, error) {
 		a, b := net.Pipe()
 		dials.Add(1)
@@ -256,7 +258,7 @@
 	}
 	p := NewPeer(cfg, "peer")
 	defer p.Close()
-	if err := askEcho(ctx, p); err != nil {
+	if err := callPeer(ctx, p); err != nil {
 		t.Fatal(err)
 	}
 	first := cut
@@ -266,13 +268,13 @@
 	}
 	for dials.Load() < 2 {
 		if ctx.Err() != nil {
-			t.Fatal("the session is still there")
+			t.Fatal("the session was not replaced")
 		}
-		short, stop := context.WithTimeout(ctx, 500*time.Millisecond)
-		_ = askEcho(short, p) // it fails until the session is replaced
-		stop()
+		callCtx, cancelCall := context.WithTimeout(ctx, 500*time.Millisecond)
+		_ = callPeer(callCtx, p) // fails until the session is replaced
+		cancelCall()
 	}
-	if err := askEcho(ctx, p); err != nil {
+	if err := callPeer(ctx, p); err != nil {
 		t.Error(err)
 	}
 }
--- a/link/peer.go
+++ b/link/peer.go
@@ -10,40 +10,41 @@
 	"pumiceford/wire"
 )
 
-// Peer keeps sessions to one address, one for each class, dialled when first used
-// and again after one was lost.
+// Peer maintains one session for each class to one address. A session is dialled on first
+// use and redialled when it is used after it was lost.
 type Peer struct {
 	cfg  Config
 	addr string
 	ctx  context.Context
 	stop context.CancelFunc
 
-	slots map[Class]*slot
+	sessions map[Class]*sessionSlot
 }
 
-// slot holds one class's session. Its mutex is held while dialling, so that
-// many callers share one dial.
-type slot struct {
-	mu  chan struct{} // a semaphore of one, so that waiting respects a context
-	cur *session
+// sessionSlot holds the session of one class. Its semaphore is held while dialling, so that
+// concurrent callers share one dial.
+type sessionSlot struct {
+	sem     chan struct{} // capacity 1; a channel, so that waiting ends with a context
+	current *session
 }
 
-// NewPeer returns a Peer for addr.
+// NewPeer returns a Peer for addr. It does not dial.
 func NewPeer(cfg Config, addr string) *Peer {
 	ctx, stop := context.WithCancel(context.Background())
-	p := &Peer{cfg: cfg.withDefaults(), addr: addr, ctx: ctx, stop: stop, slots: make(map[Class]*slot)}
+	p := &Peer{cfg: cfg.withDefaults(), addr: addr, ctx: ctx, stop: stop, sessions: make(map[Class]*sessionSlot)}
 	for _, class := range Classes {
-		p.slots[class] = &slot{mu: make(chan struct{}, 1)}
+		p.sessions[class] = &sessionSlot{sem: make(chan struct{}, 1)}
 	}
 	return p
 }
 
-// Addr returns the peer's address.
+// Addr returns the address that the peer dials.
 func (p *Peer) Addr() string {
 	return p.addr
 }
 
-// Open opens a stream of a class and sends call on it.
+// Open opens a stream of a class and sends call on it. It returns a *DialError if there is
+// no session and none can be opened.
 func (p *Peer) Open(ctx context.Context, class Class, call *wire.Call) (*Stream, error) {
 	s, err := p.session(ctx, class)
 	if err != nil {
@@ -52,7 +53,7 @@
 	return s.open(call)
 }
 
-// Call opens a stream, sends call and waits for one reply.
+// Call opens a stream, sends call and waits for one reply, or until ctx ends.
 func (p *Peer) Call(ctx context.Context, class Class, call *wire.Call, reply wireMessage) error {
 	st, err := p.Open(ctx, class, call)
 	if err != nil {
@@ -64,8 +65,8 @@
 	return st.Recv(reply)
 }
 
-// Keep holds a session of a class open until ctx ends, so that the peer's status
-// keeps arriving. It waits pause between dials that fail.
+// Keep holds a session of a class open until ctx ends, so that the peer's status keeps
+// arriving. It waits for pause after a failed dial.
 func (p *Peer) Keep(ctx context.Context, class Class, pause time.Duration) {
 	for ctx.Err() == nil && p.ctx.Err() == nil {
 		s, err := p.session(ctx, class)
@@ -83,26 +84,26 @@
 }
 
 func (p *Peer) session(ctx context.Context, class Class) (*session, error) {
-	sl := p.slots[class]
+	sl := p.sessions[class]
 	select {
-	case sl.mu <- struct{}{}:
+	case sl.sem <- struct{}{}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-p.ctx.Done():
 		return nil, ErrClosed
 	}
-	defer func() { <-sl.mu }()
+	defer func() { <-sl.sem }()
 	if p.ctx.Err() != nil {
 		return nil, ErrClosed
 	}
-	if sl.cur != nil && !sl.cur.mux.IsClosed() {
-		return sl.cur, nil
+	if sl.current != nil && !sl.current.mux.IsClosed() {
+		return sl.current, nil
 	}
 	s, err := p.dial(ctx, class)
 	if err != nil {
 		return nil, err
 	}
-	sl.cur = s
+	sl.current = s
 	return s, nil
 }
 
@@ -126,14 +127,14 @@
 		return nil, err
 	}
 	s := newSession(p.cfg, class, p.addr, mux)
-	go s.closeWith(p.ctx)
+	go s.closeOnDone(p.ctx)
 	go s.watch(s.cfg.SilentAfter)
-	go s.beat()
+	go s.sendHeartbeats()
 	go s.accept(p.ctx)
 	return s, nil
 }
 
-// Close closes all sessions.
+// Close closes all sessions. Later calls fail with ErrClosed.
 func (p *Peer) Close() {
 	p.stop()
 }
--- a/link/session.go
+++ b/link/session.go
@@ -14,19 +14,19 @@
 
 type wireMessage = proto.Message
 
-// session is one yamux session with its heartbeat.
+// session is one yamux session with its heartbeats.
 type session struct {
 	cfg   Config
 	class Class
 	addr  string // dialled address, empty on the accepting side
 	mux   *yamux.Session
-	wake  chan struct{} // a stream was opened: the next heartbeat is due now
-	// waiting is when the oldest unanswered heartbeat was sent, in Unix
-	// nanoseconds; 0 when none is. On the accepting side it is when the last
-	// heartbeat came.
-	waiting atomic.Int64
-	told    atomic.Pointer[wire.NodeStatus] // status sent last
-	untold  atomic.Int32                    // heartbeats since then
+	wake  chan struct{} // signalled when a stream was opened, so that the next heartbeat is due now
+	// waitingSince is a time in Unix nanoseconds. On the dialling side it is when the
+	// oldest unanswered heartbeat was sent, 0 if there is none; on the accepting side,
+	// when the last heartbeat arrived.
+	waitingSince atomic.Int64
+	lastStatus   atomic.Pointer[wire.NodeStatus] // last status sent
+	sinceStatus  atomic.Int32                    // heartbeats sent since then
 }
 
 func newSession(cfg Config, class Class, addr string, mux *yamux.Session) *session {
@@ -34,12 +34,12 @@
 }
 
 func (s *session) close() {
-	// Close only fails when the session is closed already.
+	// Close fails only on a session that is already closed.
 	_ = s.mux.Close()
 }
 
-// closeWith closes the session when ctx ends.
-func (s *session) closeWith(ctx context.Context) {
+// closeOnDone closes the session when ctx ends.
+func (s *session) closeOnDone(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 		s.close()
@@ -64,9 +64,9 @@
 	return st, nil
 }
 
-// watch closes the session when heartbeats stay away: on the dialling side when
-// one goes unanswered, on the accepting side when none comes.
-func (s *session) watch(allowed time.Duration) {
+// watch closes the session when heartbeats fail for longer than timeout: on the dialling
+// side when one is unanswered, on the accepting side when none arrives.
+func (s *session) watch(timeout time.Duration) {
 	tick := time.NewTicker(s.cfg.HeartbeatEvery)
 	defer tick.Stop()
 	for {
@@ -75,44 +75,44 @@
 			return
 		case <-tick.C:
 		}
-		since := s.waiting.Load()
-		if since != 0 && time.Since(time.Unix(0, since)) > allowed {
+		since := s.waitingSince.Load()
+		if since != 0 && time.Since(time.Unix(0, since)) > timeout {
 			s.close()
 			return
 		}
 	}
 }
 
-// beat sends heartbeats on a stream of their own until the session ends.
-func (s *session) beat() {
+// sendHeartbeats sends heartbeats on a dedicated stream until the session ends.
+func (s *session) sendHeartbeats() {
 	st, err := s.open(&wire.Call{Kind: &wire.Call_Heartbeat{Heartbeat: &wire.Heartbeat{}}})
 	if err != nil {
 		s.close()
 		return
 	}
 	defer st.Close()
-	go s.readBeats(st)
+	go s.readEchoes(st)
 	for n := uint64(1); ; n++ {
-		s.waiting.CompareAndSwap(0, time.Now().UnixNano())
-		if st.Send(&wire.Heartbeat{Tick: n, Status: s.beatStatus()}) != nil {
+		s.waitingSince.CompareAndSwap(0, time.Now().UnixNano())
+		if st.Send(&wire.Heartbeat{Tick: n, Status: s.heartbeatStatus()}) != nil {
 			s.close()
 			return
 		}
-		if !s.pauseBeat() {
+		if !s.waitNextHeartbeat() {
 			return
 		}
 	}
 }
 
-// pauseBeat waits until the next heartbeat is due. It reports false when the
+// waitNextHeartbeat waits until the next heartbeat is due. It reports false when the
 // session has ended.
-func (s *session) pauseBeat() bool {
-	const ownStreams = 1 // the heartbeats' own
-	every := s.cfg.IdleEvery
-	if s.mux.NumStreams() > ownStreams {
-		every = s.cfg.HeartbeatEvery
+func (s *session) waitNextHeartbeat() bool {
+	const heartbeatStreams = 1
+	interval := s.cfg.IdleEvery
+	if s.mux.NumStreams() > heartbeatStreams {
+		interval = s.cfg.HeartbeatEvery
 	}
-	timer := time.NewTimer(every)
+	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	for {
 		select {
@@ -121,46 +121,49 @@
 		case <-timer.C:
 			return true
 		case <-s.wake:
-			// Only a session whose heartbeats are slow when idle has to speed up.
-			if every == s.cfg.IdleEvery && every > s.cfg.HeartbeatEvery {
+			// The next heartbeat is due at once only if the session was idle and its idle
+			// interval is the longer one.
+			if interval == s.cfg.IdleEvery && interval > s.cfg.HeartbeatEvery {
 				return true
 			}
 		}
 	}
 }
 
-// tellAgain is how many heartbeats may go without the status when it has not
-// changed.
-const tellAgain = 5
+// heartbeatsPerStatus is the number of heartbeats after which an unchanged status is sent
+// again.
+const heartbeatsPerStatus = 5
 
-// beatStatus returns the status to send, nil when the peer has it already. Only
-// control sessions carry it, so that its bytes are paid once for each pair of
-// nodes.
-func (s *session) beatStatus() *wire.NodeStatus {
+// heartbeatStatus returns the status to send with the next heartbeat, nil if it is unchanged
+// since the last one sent. Only control sessions carry the status, so that each pair of
+// nodes transfers it once.
+func (s *session) heartbeatStatus() *wire.NodeStatus {
 	if s.class != Control {
 		return nil
 	}
 	now := s.cfg.Status()
-	if last := s.told.Load(); last != nil && proto.Equal(last, now) && s.untold.Add(1) < tellAgain {
+	if last := s.lastStatus.Load(); last != nil && proto.Equal(last, now) && s.sinceStatus.Add(1) < heartbeatsPerStatus {
 		return nil
 	}
-	s.told.Store(now)
-	s.untold.Store(0)
+	s.lastStatus.Store(now)
+	s.sinceStatus.Store(0)
 	return now
 }
 
-func (s *session) readBeats(st *Stream) {
+// readEchoes receives the echoes of sent heartbeats until the stream ends.
+func (s *session) readEchoes(st *Stream) {
 	for {
 		hb := &wire.Heartbeat{}
 		if st.Recv(hb) != nil {
 			return
 		}
-		s.waiting.Store(0)
-		s.noteBeat(hb)
+		s.waitingSince.Store(0)
+		s.reportStatus(hb)
 	}
 }
 
-func (s *session) noteBeat(hb *wire.Heartbeat) {
+// reportStatus calls OnStatus with the status of a received heartbeat.
+func (s *session) reportStatus(hb *wire.Heartbeat) {
 	if hb.GetStatus() != nil {
 		s.cfg.OnStatus(s.addr, hb.GetStatus())
 		return
@@ -170,16 +173,16 @@
 	}
 }
 
-// echo answers the peer's heartbeats.
-func (s *session) echo(st *Stream) {
+// echoHeartbeats answers the peer's heartbeats until the stream ends.
+func (s *session) echoHeartbeats(st *Stream) {
 	for {
 		hb := &wire.Heartbeat{}
 		if st.Recv(hb) != nil {
 			return
 		}
-		s.waiting.Store(time.Now().UnixNano())
-		s.noteBeat(hb)
-		if st.Send(&wire.Heartbeat{Tick: hb.GetTick(), Status: s.beatStatus()}) != nil {
+		s.waitingSince.Store(time.Now().UnixNano())
+		s.reportStatus(hb)
+		if st.Send(&wire.Heartbeat{Tick: hb.GetTick(), Status: s.heartbeatStatus()}) != nil {
 			return
 		}
 	}
@@ -208,7 +211,7 @@
 	}
 	st.SetDeadline(time.Time{})
 	if call.GetHeartbeat() != nil {
-		s.echo(st)
+		s.echoHeartbeats(st)
 		return
 	}
 	if s.cfg.Handle != nil {
@@ -216,7 +219,8 @@
 	}
 }
 
-// Serve accepts connections from peers until ln is closed or ctx ends.
+// Serve accepts connections from peers until ctx ends, which closes ln. It returns nil in
+// that case, and the error of ln otherwise.
 func Serve(ctx context.Context, ln net.Listener, cfg Config) error {
 	cfg = cfg.withDefaults()
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
@@ -233,7 +237,7 @@
 	}
 }
 
-// ServeConn serves one accepted connection until it ends.
+// ServeConn serves one accepted connection until the connection or ctx ends.
 func ServeConn(ctx context.Context, conn net.Conn, cfg Config) {
 	cfg = cfg.withDefaults()
 	conn = secureServer(conn, cfg.TLS)
@@ -251,7 +255,7 @@
 	stop := context.AfterFunc(ctx, s.close)
 	defer stop()
 	defer s.close()
-	s.waiting.Store(time.Now().UnixNano())
+	s.waitingSince.Store(time.Now().UnixNano())
 	go s.watch(s.cfg.IdleEvery + s.cfg.SilentAfter)
 	s.accept(ctx)
 }
--- a/netx/netx.go
+++ b/netx/netx.go
@@ -1,6 +1,6 @@
-// Package netx dials TCP connections that notice a dead other end. A connection
-// can go silent for good without a reset while new ones work; only probes of our
-// own or a bound on unacknowledged data show it.
+// Package netx dials TCP connections that detect an unresponsive peer. A connection can
+// stop delivering data for good without a reset while new connections work; only keep-alive
+// probes and a limit on unacknowledged data detect that.
 package netx
 
 import (
@@ -12,42 +12,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds of a silent connection.
+// Limits after which the kernel closes an unresponsive connection.
 const (
-	probeIdle  = time.Second
-	probeEvery = 500 * time.Millisecond
-	probeCount = 2
-	// unackedFor bounds how long sent data may stay unacknowledged. One loss and
-	// its repeat take some 400 ms.
-	unackedFor = 2 * time.Second
+	probeIdle     = time.Second
+	probeInterval = 500 * time.Millisecond
+	probeCount    = 2
+	// maxUnacked is how long sent data may stay unacknowledged. One packet loss and its
+	// retransmission take about 400 ms.
+	maxUnacked = 2 * time.Second
 )
 
-// Dialer returns a dialer for connections of a fleet.
+// Dialer returns a dialer with keep-alive probes and a limit on unacknowledged data. The
+// timeout bounds connecting.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount,
+			Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount,
 		},
-		Control: boundUnacked,
+		Control: setUserTimeout,
 	}
 }
 
-func boundUnacked(_, _ string, c syscall.RawConn) error {
-	var failed error
+// setUserTimeout sets TCP_USER_TIMEOUT to maxUnacked on a new socket.
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
+	var sockErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedFor.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(maxUnacked.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
-// Dial is a DialFunc with the default bound on connecting.
+// Dial connects to addr over TCP with the default timeout. It can be used as a
+// link.DialFunc.
 func Dial(ctx context.Context, addr string) (net.Conn, error) {
 	return Dialer(dialTimeout).DialContext(ctx, "tcp", addr)
 }
 
-// dialTimeout bounds connecting: the first packet and one repeat after a second.
+// dialTimeout bounds connecting. It leaves time for one retransmission of the first packet,
+// which follows after 1 s.
 const dialTimeout = 1500 * time.Millisecond
