--- a/daemon/exit.go
+++ b/daemon/exit.go
@@ -6,8 +6,8 @@
 	"os"
 )
 
-// Exit runs a command. If it fails, Exit writes the error to w and ends the process with
-// status 1.
+// Exit runs a command. If the command fails, the error is written to w and the process
+// exits with status 1.
 func Exit(w io.Writer, run func() error) {
 	if err := run(); err != nil {
 		// If the error cannot be written either, the exit status still reports it.
--- a/link/link.go
+++ b/link/link.go
@@ -47,10 +47,10 @@
 	TLS         *tls.Config // nil means connections without TLS, for loopback only
 	Dial        DialFunc    // nil means TCP
 
-	// HeartbeatEvery is the heartbeat interval on a session with open streams,
+	// HeartbeatEvery is the time between heartbeats on a session with open streams,
 	// default 500 ms.
 	HeartbeatEvery time.Duration
-	// IdleEvery is the heartbeat interval on a session without open streams,
+	// IdleEvery is the time between heartbeats on a session without open streams,
 	// default 2 s. Most sessions of a fleet are idle, and their heartbeats are most
 	// of the control traffic.
 	IdleEvery time.Duration
