--- a/entry/api.go
+++ b/entry/api.go
@@ -51,10 +51,10 @@
 		}
 		c.SetStatusCode(200)
 	})
-	h.GET("/v1/models", e.caller(e.serveModels))
-	h.POST("/v1/completions", e.caller(e.serveCompletion))
-	h.POST("/v1/chat/completions", e.caller(e.serveChat))
-	h.Any("/v1/services/:service/*path", e.caller(e.serveService))
+	h.GET("/v1/models", e.handleCaller(e.serveModels))
+	h.POST("/v1/completions", e.handleCaller(e.serveCompletion))
+	h.POST("/v1/chat/completions", e.handleCaller(e.serveChat))
+	h.Any("/v1/services/:service/*path", e.handleCaller(e.serveService))
 	e.routeBatch(h)
 	return httpx.Serve(ctx, h)
 }
@@ -65,13 +65,13 @@
 	return adaptor.HertzHandler(handler)
 }
 
-// callerFunc handles a request of a known workspace.
-type callerFunc func(ctx context.Context, c *app.RequestContext, ws config.Workspace) error
+// callerHandler handles a request of a known workspace.
+type callerHandler func(ctx context.Context, c *app.RequestContext, ws config.Workspace) error
 
-// caller checks the bearer key and turns failures into answers.
-func (e *Entry) caller(fn callerFunc) app.HandlerFunc {
+// handleCaller checks the bearer key and turns failures into answers.
+func (e *Entry) handleCaller(fn callerHandler) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
-		defer e.enter()()
+		defer e.beginRequest()()
 		ws, err := e.authenticate(c)
 		if err == nil {
 			err = fn(ctx, c, ws)
@@ -82,7 +82,7 @@
 	}
 }
 
-func bearer(c *app.RequestContext) string {
+func bearerKey(c *app.RequestContext) string {
 	auth := string(c.GetHeader("Authorization"))
 	key, ok := strings.CutPrefix(auth, "Bearer ")
 	if !ok {
@@ -97,12 +97,12 @@
 	}
 	var ws config.Workspace
 	ok := false
-	hash := HashKey(bearer(c))
+	hash := HashKey(bearerKey(c))
 	e.follower.View(func(s *config.State) { ws, ok = s.WorkspaceByKey(hash) })
 	if !ok {
 		return ws, apierr.New(apierr.CodeUnauthorized, "unknown key")
 	}
-	if !e.allow(ws) {
+	if !e.allowRequest(ws) {
 		return ws, apierr.New(apierr.CodeRateLimited, "the workspace's rate limit is reached").After(time.Second)
 	}
 	return ws, nil
@@ -130,7 +130,7 @@
 	return "unknown"
 }
 
-func errorOf(err error) (*apierr.Error, errorBody) {
+func newErrorBody(err error) (*apierr.Error, errorBody) {
 	fail := apierr.From(err)
 	return fail, errorBody{Error: errorDetail{
 		Code: string(fail.Code), Type: string(fail.Code), Message: fail.Message, Ran: ranText(fail.Ran),
@@ -138,7 +138,7 @@
 }
 
 func writeError(c *app.RequestContext, err error) {
-	fail, body := errorOf(err)
+	fail, body := newErrorBody(err)
 	c.Response.Header.Set(HeaderRan, ranText(fail.Ran))
 	if fail.RetryAfter > 0 {
 		c.Response.Header.Set("Retry-After", strconv.Itoa(int((fail.RetryAfter+time.Second-1)/time.Second)))
@@ -171,7 +171,7 @@
 	return nil
 }
 
-func (e *Entry) knowsModel(name string) bool {
+func (e *Entry) modelExists(name string) bool {
 	known := false
 	e.follower.View(func(s *config.State) { _, known = s.Model(name) })
 	return known
@@ -267,9 +267,9 @@
 	req.Prompt = body.Prompt
 	req.MaxTokens = body.MaxTokens
 	c.Response.Header.Set(HeaderRequest, req.ID.String())
-	out := &completionWriter{c: c, chat: chat, model: req.Model, id: req.ID.String(), usage: body.StreamOptions.IncludeUsage}
+	out := &completionWriter{c: c, chat: chat, model: req.Model, id: req.ID.String(), includeUsage: body.StreamOptions.IncludeUsage}
 	if !body.Stream {
-		return e.completeWhole(ctx, req, out)
+		return e.completeBuffered(ctx, req, out)
 	}
 	return e.completeStream(ctx, req, out)
 }
--- a/entry/api_batch.go
+++ b/entry/api_batch.go
@@ -28,26 +28,26 @@
 
 // Bounds of batch files.
 const (
-	MaxFileItems   = 51000
-	chunkBytes     = 256 << 10
-	defaultWindow  = 24 * time.Hour
-	maxWindow      = 7 * 24 * time.Hour
-	resultsKeep    = 3 * 24 * time.Hour // after the job's end; docs/CAPACITY.md has the cost
-	defaultPage    = 20
-	maxPage        = 100
-	resultsPage    = 1000
-	maxMetadata    = 16
-	maxMetadataLen = 512
+	MaxFileItems       = 51000
+	chunkBytes         = 256 << 10
+	defaultWindow      = 24 * time.Hour
+	maxWindow          = 7 * 24 * time.Hour
+	resultRetention    = 3 * 24 * time.Hour // after the job's end; docs/CAPACITY.md has the cost
+	defaultPageSize    = 20
+	maxPageSize        = 100
+	resultsPageSize    = 1000
+	maxMetadataEntries = 16
+	maxMetadataBytes   = 512
 )
 
 func (e *Entry) routeBatch(h *server.Hertz) {
-	h.POST("/v1/files", e.caller(e.serveUpload))
-	h.GET("/v1/files/:id", e.caller(e.serveFile))
-	h.GET("/v1/files/:id/content", e.caller(e.serveContent))
-	h.POST("/v1/batches", e.caller(e.serveSubmit))
-	h.GET("/v1/batches", e.caller(e.serveList))
-	h.GET("/v1/batches/:id", e.caller(e.serveBatch))
-	h.POST("/v1/batches/:id/cancel", e.caller(e.serveCancel))
+	h.POST("/v1/files", e.handleCaller(e.serveUpload))
+	h.GET("/v1/files/:id", e.handleCaller(e.serveFile))
+	h.GET("/v1/files/:id/content", e.handleCaller(e.serveContent))
+	h.POST("/v1/batches", e.handleCaller(e.serveSubmit))
+	h.GET("/v1/batches", e.handleCaller(e.serveList))
+	h.GET("/v1/batches/:id", e.handleCaller(e.serveBatch))
+	h.POST("/v1/batches/:id/cancel", e.handleCaller(e.serveCancel))
 }
 
 func (w *completionWriter) batchReply(line *wire.ResultLine) completionReply {
@@ -59,8 +59,8 @@
 	} else {
 		choice.Text = &text
 	}
-	reply := w.reply(false, choice)
-	reply.Usage = usageOf(&wire.End{PromptTokens: line.GetPromptTokens()}, line.GetCompletionTokens())
+	reply := w.newReply(false, choice)
+	reply.Usage = newUsage(&wire.End{PromptTokens: line.GetPromptTokens()}, line.GetCompletionTokens())
 	return reply
 }
 
@@ -79,12 +79,12 @@
 	if b.Endpoint != "/v1/completions" && b.Endpoint != "/v1/chat/completions" {
 		return b, 0, apierr.New(apierr.CodeBadRequest, "endpoint must be /v1/completions or /v1/chat/completions")
 	}
-	if len(b.Metadata) > maxMetadata {
-		return b, 0, apierr.New(apierr.CodeBadRequest, "metadata has at most %d entries", maxMetadata)
+	if len(b.Metadata) > maxMetadataEntries {
+		return b, 0, apierr.New(apierr.CodeBadRequest, "metadata has at most %d entries", maxMetadataEntries)
 	}
 	for k, v := range b.Metadata {
-		if len(k) > maxMetadataLen || len(v) > maxMetadataLen {
-			return b, 0, apierr.New(apierr.CodeBadRequest, "metadata is over %d bytes", maxMetadataLen)
+		if len(k) > maxMetadataBytes || len(v) > maxMetadataBytes {
+			return b, 0, apierr.New(apierr.CodeBadRequest, "metadata is over %d bytes", maxMetadataBytes)
 		}
 	}
 	window := defaultWindow
@@ -110,7 +110,7 @@
 	if string(c.GetHeader(HeaderNewJob)) == "true" && req.Key == "" {
 		req.Key = uuid.NewString()
 	}
-	file, err := e.parsePlace(prefixFile, body.InputFileID)
+	file, err := e.parseObjectRef(prefixFile, body.InputFileID)
 	if err != nil {
 		return err
 	}
@@ -118,33 +118,33 @@
 	if err != nil {
 		return err
 	}
-	httpx.WriteJSON(c, 200, batchObject(at, job, body.InputFileID))
+	httpx.WriteJSON(c, 200, newBatchReply(at, job, body.InputFileID))
 	return nil
 }
 
 // submit accepts a job. A resend with the same key, or of the same content
 // without a key, meets the same partition and so the same job.
-func (e *Entry) submit(ctx context.Context, ws config.Workspace, req *Request, body submitBody, window time.Duration, file place) (*wire.JobInfo, place, error) {
+func (e *Entry) submit(ctx context.Context, ws config.Workspace, req *Request, body submitBody, window time.Duration, file objectRef) (*wire.JobInfo, objectRef, error) {
 	page, err := e.filePage(ctx, file, ws.Name, 0)
 	if err != nil {
-		return nil, place{}, err
+		return nil, objectRef{}, err
 	}
 	item, err := batch.ParseItem(page.GetLines()[0])
 	if err != nil {
-		return nil, place{}, err
+		return nil, objectRef{}, err
 	}
 	mark := []byte(strconv.FormatBool(req.NonIdempotent))
 	digest := Digest16(file.id, []byte(body.Endpoint), []byte(window.String()), mark)
-	at := place{partition: file.partition, id: Digest16([]byte("job"), []byte(ws.Name), digest)}
+	at := objectRef{partition: file.partition, id: Digest16([]byte("job"), []byte(ws.Name), digest)}
 	if req.Key != "" {
 		at.id = Digest16([]byte("keyed job"), []byte(ws.Name), []byte(req.Key))
 		at.partition = e.partitionOf(at.id)
 		if err := e.copyFile(ctx, ws, file, at.partition, page); err != nil {
-			return nil, place{}, err
+			return nil, objectRef{}, err
 		}
 	}
 	now := time.Now()
-	reply, err := e.Ask(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_CommitJob{CommitJob: &wire.CommitJob{
+	reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_CommitJob{CommitJob: &wire.CommitJob{
 		Job:           at.id,
 		Workspace:     ws.Name,
 		File:          file.id,
@@ -152,20 +152,20 @@
 		DueUnixMs:     now.Add(window).UnixMilli(),
 		NonIdempotent: req.NonIdempotent,
 		CreatedUnixMs: now.UnixMilli(),
-		KeepMs:        resultsKeep.Milliseconds(),
+		KeepMs:        resultRetention.Milliseconds(),
 		Digest:        digest,
 		Endpoint:      body.Endpoint,
 		Metadata:      body.Metadata,
 	}}})
 	if err != nil {
-		return nil, place{}, err
+		return nil, objectRef{}, err
 	}
 	e.log.Info("job accepted", logging.F("job", prefixBatch+at.String()), logging.F("workspace", ws.Name), logging.F("items", reply.GetJob().GetTotal()))
 	return reply.GetJob(), at, nil
 }
 
 // copyFile puts a file into the partition of a job that its key sends there.
-func (e *Entry) copyFile(ctx context.Context, ws config.Workspace, file place, to uint32, page *wire.FilePage) error {
+func (e *Entry) copyFile(ctx context.Context, ws config.Workspace, file objectRef, to uint32, page *wire.FilePage) error {
 	if to == file.partition {
 		return nil
 	}
@@ -173,11 +173,11 @@
 	if err != nil {
 		return err
 	}
-	return e.putLines(ctx, place{partition: to, id: file.id}, ws.Name, page.GetName(), lines, page.GetBytes())
+	return e.putFile(ctx, objectRef{partition: to, id: file.id}, ws.Name, page.GetName(), lines, page.GetBytes())
 }
 
-func (e *Entry) job(ctx context.Context, ws config.Workspace, at place) (*wire.JobInfo, error) {
-	reply, err := e.Ask(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_GetJob{GetJob: &wire.GetJob{
+func (e *Entry) job(ctx context.Context, ws config.Workspace, at objectRef) (*wire.JobInfo, error) {
+	reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_GetJob{GetJob: &wire.GetJob{
 		Workspace: ws.Name, Job: at.id,
 	}}})
 	return reply.GetJob(), err
@@ -207,9 +207,9 @@
 	Failed    uint32 `json:"failed"`
 }
 
-func batchObject(at place, j *wire.JobInfo, inputID string) batchReply {
+func newBatchReply(at objectRef, j *wire.JobInfo, inputID string) batchReply {
 	if inputID == "" {
-		inputID = prefixFile + place{partition: j.GetPartition(), id: j.GetFile()}.String()
+		inputID = prefixFile + objectRef{partition: j.GetPartition(), id: j.GetFile()}.String()
 	}
 	window := time.Duration(j.GetDueUnixMs()-j.GetCreatedUnixMs()) * time.Millisecond
 	out := batchReply{
@@ -237,7 +237,7 @@
 }
 
 func (e *Entry) serveBatch(ctx context.Context, c *app.RequestContext, ws config.Workspace) error {
-	at, err := e.parsePlace(prefixBatch, c.Param("id"))
+	at, err := e.parseObjectRef(prefixBatch, c.Param("id"))
 	if err != nil {
 		return err
 	}
@@ -245,22 +245,22 @@
 	if err != nil {
 		return err
 	}
-	httpx.WriteJSON(c, 200, batchObject(at, job, ""))
+	httpx.WriteJSON(c, 200, newBatchReply(at, job, ""))
 	return nil
 }
 
 func (e *Entry) serveCancel(ctx context.Context, c *app.RequestContext, ws config.Workspace) error {
-	at, err := e.parsePlace(prefixBatch, c.Param("id"))
+	at, err := e.parseObjectRef(prefixBatch, c.Param("id"))
 	if err != nil {
 		return err
 	}
-	reply, err := e.Ask(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_CancelJob{CancelJob: &wire.CancelJob{
+	reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_CancelJob{CancelJob: &wire.CancelJob{
 		Workspace: ws.Name, Job: at.id,
 	}}})
 	if err != nil {
 		return err
 	}
-	httpx.WriteJSON(c, 200, batchObject(at, reply.GetJob(), ""))
+	httpx.WriteJSON(c, 200, newBatchReply(at, reply.GetJob(), ""))
 	return nil
 }
 
@@ -274,26 +274,26 @@
 
 // serveList lists a workspace's jobs, newest first.
 func (e *Entry) serveList(ctx context.Context, c *app.RequestContext, ws config.Workspace) error {
-	limit := defaultPage
+	limit := defaultPageSize
 	if v := c.Query("limit"); v != "" {
 		n, err := strconv.Atoi(v)
-		if err != nil || n < 1 || n > maxPage {
-			return apierr.New(apierr.CodeBadRequest, "limit must be 1 to %d", maxPage)
+		if err != nil || n < 1 || n > maxPageSize {
+			return apierr.New(apierr.CodeBadRequest, "limit must be 1 to %d", maxPageSize)
 		}
 		limit = n
 	}
 	var all []batchReply
 	for p := uint32(0); p < e.cfg.Ledger.Partitions; p++ {
-		reply, err := e.Ask(ctx, &wire.PeerRequest{Partition: p, Kind: &wire.PeerRequest_ListJobs{ListJobs: &wire.ListJobs{Workspace: ws.Name}}})
+		reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: p, Kind: &wire.PeerRequest_ListJobs{ListJobs: &wire.ListJobs{Workspace: ws.Name}}})
 		if err != nil {
 			return err
 		}
 		for _, j := range reply.GetJobs() {
-			all = append(all, batchObject(place{partition: p, id: j.GetJob()}, j, ""))
+			all = append(all, newBatchReply(objectRef{partition: p, id: j.GetJob()}, j, ""))
 		}
 	}
 	slices.SortFunc(all, newestFirst)
-	httpx.WriteJSON(c, 200, pageOf(all, c.Query("after"), limit))
+	httpx.WriteJSON(c, 200, newBatchList(all, c.Query("after"), limit))
 	return nil
 }
 
@@ -304,7 +304,7 @@
 	return strings.Compare(a.ID, b.ID)
 }
 
-func pageOf(all []batchReply, after string, limit int) batchList {
+func newBatchList(all []batchReply, after string, limit int) batchList {
 	if after != "" {
 		at := slices.IndexFunc(all, func(b batchReply) bool { return b.ID == after })
 		all = all[at+1:]
--- a/entry/api_completion.go
+++ b/entry/api_completion.go
@@ -16,12 +16,12 @@
 
 // completionWriter writes answers in the form of the OpenAI interface.
 type completionWriter struct {
-	c     *app.RequestContext
-	chat  bool
-	model string
-	id    string
-	usage bool
-	sse   *sse.Writer // set once the first byte was streamed
+	c            *app.RequestContext
+	chat         bool
+	model        string
+	id           string
+	includeUsage bool
+	sse          *sse.Writer // set once the first byte was streamed
 }
 
 type completionReply struct {
@@ -56,7 +56,7 @@
 	return "text_completion"
 }
 
-func (w *completionWriter) reply(stream bool, choices ...completionChoice) completionReply {
+func (w *completionWriter) newReply(stream bool, choices ...completionChoice) completionReply {
 	if choices == nil {
 		choices = []completionChoice{}
 	}
@@ -69,7 +69,7 @@
 	}
 }
 
-func usageOf(end *wire.End, tokens uint32) *enginehttp.Usage {
+func newUsage(end *wire.End, tokens uint32) *enginehttp.Usage {
 	return &enginehttp.Usage{
 		PromptTokens:     end.GetPromptTokens(),
 		CompletionTokens: tokens,
@@ -77,7 +77,7 @@
 	}
 }
 
-func (e *Entry) completeWhole(ctx context.Context, req *Request, w *completionWriter) error {
+func (e *Entry) completeBuffered(ctx context.Context, req *Request, w *completionWriter) error {
 	var text strings.Builder
 	var tokens uint32
 	end, err := e.Do(ctx, req, func(p *wire.Piece) error {
@@ -96,8 +96,8 @@
 	} else {
 		choice.Text = &content
 	}
-	reply := w.reply(false, choice)
-	reply.Usage = usageOf(end, tokens)
+	reply := w.newReply(false, choice)
+	reply.Usage = newUsage(end, tokens)
 	httpx.WriteJSON(w.c, 200, reply)
 	return nil
 }
@@ -106,7 +106,7 @@
 	var tokens uint32
 	end, err := e.Do(ctx, req, func(p *wire.Piece) error {
 		tokens += p.GetTokens()
-		return w.piece(string(p.GetText()))
+		return w.writePiece(string(p.GetText()))
 	})
 	if err != nil && w.sse == nil {
 		return err
@@ -114,15 +114,15 @@
 	if err != nil {
 		// The status line is out. The error event, and no [DONE] after it, tells
 		// the caller that the answer is not whole.
-		_, body := errorOf(err)
-		_ = w.event(body)
+		_, body := newErrorBody(err)
+		_ = w.writeEvent(body)
 		return nil
 	}
-	w.end(end, tokens)
+	w.writeEnd(end, tokens)
 	return nil
 }
 
-func (w *completionWriter) piece(text string) error {
+func (w *completionWriter) writePiece(text string) error {
 	choice := completionChoice{}
 	if w.chat {
 		choice.Delta = &chatMessage{Content: text}
@@ -132,11 +132,11 @@
 	} else {
 		choice.Text = &text
 	}
-	return w.event(w.reply(true, choice))
+	return w.writeEvent(w.newReply(true, choice))
 }
 
-func (w *completionWriter) end(end *wire.End, tokens uint32) {
-	finish := end.GetFinishReason()
+func (w *completionWriter) writeEnd(writeEnd *wire.End, tokens uint32) {
+	finish := writeEnd.GetFinishReason()
 	choice := completionChoice{FinishReason: &finish}
 	empty := ""
 	if w.chat {
@@ -145,16 +145,16 @@
 		choice.Text = &empty
 	}
 	// A caller that is gone by now has lost nothing but the end.
-	_ = w.event(w.reply(true, choice))
-	if w.usage {
-		last := w.reply(true)
-		last.Usage = usageOf(end, tokens)
-		_ = w.event(last)
+	_ = w.writeEvent(w.newReply(true, choice))
+	if w.includeUsage {
+		last := w.newReply(true)
+		last.Usage = newUsage(writeEnd, tokens)
+		_ = w.writeEvent(last)
 	}
 	_ = w.sse.WriteEvent("", "", []byte("[DONE]"))
 }
 
-func (w *completionWriter) event(v any) error {
+func (w *completionWriter) writeEvent(v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
--- a/entry/api_files.go
+++ b/entry/api_files.go
@@ -20,8 +20,8 @@
 	"pumiceford/wire"
 )
 
-// place is where an object lives: its partition and its id there.
-type place struct {
+// objectRef is where an object lives: its partition and its id there.
+type objectRef struct {
 	partition uint32
 	id        []byte
 }
@@ -35,29 +35,29 @@
 	prefixErrors = "file-err-"
 )
 
-func (p place) String() string {
+func (p objectRef) String() string {
 	return fmt.Sprintf("%04x%s", p.partition, hex.EncodeToString(p.id))
 }
 
-const placeHexLen = 4 + 32
+const objectRefHexLen = 4 + 32
 
-// parsePlace reads an id. A malformed one is not found rather than bad: to the
+// parseObjectRef reads an id. A malformed one is not found rather than bad: to the
 // caller it is just an id that does not exist.
-func (e *Entry) parsePlace(prefix, s string) (place, error) {
+func (e *Entry) parseObjectRef(prefix, s string) (objectRef, error) {
 	missing := apierr.New(apierr.CodeNotFound, "no such id")
 	rest, ok := strings.CutPrefix(s, prefix)
-	if !ok || len(rest) != placeHexLen {
-		return place{}, missing
+	if !ok || len(rest) != objectRefHexLen {
+		return objectRef{}, missing
 	}
 	number, err := strconv.ParseUint(rest[:4], 16, 32)
 	if err != nil || uint32(number) >= e.cfg.Ledger.Partitions {
-		return place{}, missing
+		return objectRef{}, missing
 	}
 	id, err := hex.DecodeString(rest[4:])
 	if err != nil {
-		return place{}, missing
+		return objectRef{}, missing
 	}
-	return place{partition: uint32(number), id: id}, nil
+	return objectRef{partition: uint32(number), id: id}, nil
 }
 
 type fileReply struct {
@@ -133,27 +133,27 @@
 	if len(lines) == 0 {
 		return nil, "", apierr.New(apierr.CodeBadRequest, "the file is empty")
 	}
-	if !e.knowsModel(model) {
+	if !e.modelExists(model) {
 		return nil, "", apierr.New(apierr.CodeUnknownModel, "no such model: %s", model)
 	}
 	return lines, model, nil
 }
 
 // storeFile makes a file durable in the partition that its content names.
-func (e *Entry) storeFile(ctx context.Context, workspace, name string, data []byte) (place, error) {
+func (e *Entry) storeFile(ctx context.Context, workspace, name string, data []byte) (objectRef, error) {
 	lines, _, err := e.splitLines(data)
 	if err != nil {
-		return place{}, err
+		return objectRef{}, err
 	}
 	id := Digest16([]byte("file"), []byte(workspace), data)
-	at := place{partition: e.partitionOf(id), id: id}
-	if err := e.putLines(ctx, at, workspace, name, lines, uint64(len(data))); err != nil {
-		return place{}, err
+	at := objectRef{partition: e.partitionOf(id), id: id}
+	if err := e.putFile(ctx, at, workspace, name, lines, uint64(len(data))); err != nil {
+		return objectRef{}, err
 	}
 	return at, nil
 }
 
-func (e *Entry) putLines(ctx context.Context, at place, workspace, name string, lines [][]byte, size uint64) error {
+func (e *Entry) putFile(ctx context.Context, at objectRef, workspace, name string, lines [][]byte, size uint64) error {
 	var number uint32
 	for rest := lines; len(rest) > 0; number++ {
 		n, bytes := 0, 0
@@ -161,7 +161,7 @@
 			bytes += len(rest[n])
 			n++
 		}
-		_, err := e.Ask(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_PutChunk{PutChunk: &wire.PutChunk{
+		_, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_PutChunk{PutChunk: &wire.PutChunk{
 			Workspace: workspace, File: at.id, Number: number, Lines: rest[:n],
 		}}})
 		if err != nil {
@@ -169,14 +169,14 @@
 		}
 		rest = rest[n:]
 	}
-	_, err := e.Ask(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_SealFile{SealFile: &wire.SealFile{
+	_, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_SealFile{SealFile: &wire.SealFile{
 		Workspace: workspace, File: at.id, Chunks: number, Lines: uint32(len(lines)), Bytes: size, Name: name,
 	}}})
 	return err
 }
 
-func (e *Entry) filePage(ctx context.Context, at place, workspace string, chunk uint32) (*wire.FilePage, error) {
-	reply, err := e.Ask(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_ReadFile{ReadFile: &wire.ReadFile{
+func (e *Entry) filePage(ctx context.Context, at objectRef, workspace string, chunk uint32) (*wire.FilePage, error) {
+	reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_ReadFile{ReadFile: &wire.ReadFile{
 		Workspace: workspace, File: at.id, Chunk: chunk,
 	}}})
 	return reply.GetFile(), err
@@ -188,7 +188,7 @@
 		httpx.WriteJSON(c, 200, newFileReply(id, 0, id+".jsonl", "batch_output"))
 		return nil
 	}
-	at, err := e.parsePlace(prefixFile, id)
+	at, err := e.parseObjectRef(prefixFile, id)
 	if err != nil {
 		return err
 	}
@@ -220,7 +220,7 @@
 }
 
 func (e *Entry) inputFile(ctx context.Context, ws config.Workspace, id string) ([]byte, error) {
-	at, err := e.parsePlace(prefixFile, id)
+	at, err := e.parseObjectRef(prefixFile, id)
 	if err != nil {
 		return nil, err
 	}
@@ -231,7 +231,7 @@
 	return append(bytes.Join(lines, []byte("\n")), '\n'), nil
 }
 
-func (e *Entry) fileLines(ctx context.Context, at place, workspace string) ([][]byte, error) {
+func (e *Entry) fileLines(ctx context.Context, at objectRef, workspace string) ([][]byte, error) {
 	var lines [][]byte
 	for n := uint32(0); ; n++ {
 		page, err := e.filePage(ctx, at, workspace, n)
@@ -267,7 +267,7 @@
 // resultsFile writes the succeeded or the other items of a job, in the caller's
 // order. It can be read while the job runs.
 func (e *Entry) resultsFile(ctx context.Context, ws config.Workspace, prefix, id string) ([]byte, error) {
-	at, err := e.parsePlace(prefix, id)
+	at, err := e.parseObjectRef(prefix, id)
 	if err != nil {
 		return nil, err
 	}
@@ -277,15 +277,15 @@
 	}
 	var out bytes.Buffer
 	for from := uint32(0); ; {
-		reply, err := e.Ask(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_ReadResults{ReadResults: &wire.ReadResults{
-			Workspace: ws.Name, Job: at.id, From: from, Limit: resultsPage,
+		reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_ReadResults{ReadResults: &wire.ReadResults{
+			Workspace: ws.Name, Job: at.id, From: from, Limit: resultsPageSize,
 		}}})
 		if err != nil {
 			return nil, err
 		}
 		for _, line := range reply.GetResults().GetLines() {
 			if (line.GetState() == "succeeded") == (prefix == prefixOutput) {
-				writeLine(&out, at, job, line)
+				writeBatchLine(&out, at, job, line)
 			}
 		}
 		if !reply.GetResults().GetMore() {
@@ -295,7 +295,7 @@
 	}
 }
 
-func writeLine(out *bytes.Buffer, at place, job *wire.JobInfo, line *wire.ResultLine) {
+func writeBatchLine(out *bytes.Buffer, at objectRef, job *wire.JobInfo, line *wire.ResultLine) {
 	id := fmt.Sprintf("%s-%d", at, line.GetIndex())
 	l := batchLine{ID: "batch_req_" + id, CustomID: line.GetCustomId()}
 	if line.GetState() == "succeeded" {
--- a/entry/api_operator.go
+++ b/entry/api_operator.go
@@ -20,21 +20,21 @@
 func (e *Entry) ServeOperators(ctx context.Context, ln net.Listener) error {
 	h := httpx.NewServer(ln, maxOperatorBody)
 	h.GET("/metrics", e.serveMetrics())
-	h.POST("/plans", e.operator(e.servePropose))
-	h.GET("/plans/:id", e.operator(e.servePlan))
-	h.POST("/plans/:id/confirm", e.operator(e.serveConfirm))
-	h.GET("/status", e.operator(e.serveStatus))
-	h.GET("/history", e.operator(e.serveHistory))
-	h.GET("/events", e.operator(e.serveEvents))
+	h.POST("/plans", e.handleOperator(e.servePropose))
+	h.GET("/plans/:id", e.handleOperator(e.servePlan))
+	h.POST("/plans/:id/confirm", e.handleOperator(e.serveConfirm))
+	h.GET("/status", e.handleOperator(e.serveStatus))
+	h.GET("/history", e.handleOperator(e.serveHistory))
+	h.GET("/events", e.handleOperator(e.serveEvents))
 	return httpx.Serve(ctx, h)
 }
 
-type operatorFunc func(ctx context.Context, c *app.RequestContext, op config.Operator) error
+type operatorHandler func(ctx context.Context, c *app.RequestContext, op config.Operator) error
 
-// operator checks the operator's key and turns failures into answers.
-func (e *Entry) operator(fn operatorFunc) app.HandlerFunc {
+// handleOperator checks the operator's key and turns failures into answers.
+func (e *Entry) handleOperator(fn operatorHandler) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
-		hash := HashKey(bearer(c))
+		hash := HashKey(bearerKey(c))
 		var op config.Operator
 		ok := false
 		e.follower.View(func(s *config.State) { op, ok = s.OperatorByKey(hash) })
@@ -97,7 +97,7 @@
 func (e *Entry) planReply(ctx context.Context, v config.PlanView) PlanReply {
 	r := PlanReply{PlanView: v}
 	if v.Status == config.Accepted {
-		r.Laggards = e.laggards(ctx, v.Decided+1)
+		r.Laggards = e.laggingNodes(ctx, v.Decided+1)
 		r.InForce = len(r.Laggards) == 0
 	}
 	return r
@@ -131,7 +131,7 @@
 // effects says in plain words what intents do where.
 func (e *Entry) effects(intents []config.Intent) []string {
 	var out []string
-	agents := len(e.agentViews())
+	agents := len(e.agentStatuses())
 	for _, i := range intents {
 		switch i.Kind {
 		case config.SetModel:
@@ -181,8 +181,8 @@
 func (e *Entry) serveStatus(ctx context.Context, c *app.RequestContext, _ config.Operator) error {
 	s := StatusReply{Node: e.cfg.Name, Ready: e.Ready(), Config: e.follower.Offset()}
 	e.follower.View(func(st *config.State) { s.Workspaces = st.Workspaces() })
-	s.Laggards = e.laggards(ctx, s.Config)
-	s.Agents = e.agentViews()
+	s.Laggards = e.laggingNodes(ctx, s.Config)
+	s.Agents = e.agentStatuses()
 	for p := uint32(0); p < e.cfg.Ledger.Partitions; p++ {
 		s.Partitions = append(s.Partitions, Partition{Number: p, Owner: e.manager.Proposed(p)})
 	}
@@ -190,7 +190,7 @@
 	return nil
 }
 
-func (e *Entry) agentViews() []AgentStatus {
+func (e *Entry) agentStatuses() []AgentStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := []AgentStatus{}
@@ -214,7 +214,7 @@
 }
 
 func (e *Entry) serveEvents(_ context.Context, c *app.RequestContext, _ config.Operator) error {
-	list := e.events.about(c.Query("subject"))
+	list := e.events.forSubject(c.Query("subject"))
 	if list == nil {
 		list = []Event{}
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -39,16 +39,16 @@
 	Routing     routing.Settings
 	Bootstrap   config.Operator
 
-	// HostsEvery is the interval at which the host list is read, default 2 s.
-	HostsEvery time.Duration
-	// ReattachFor is how long an entry tries to reach an agent that holds a
+	// HostListInterval is the interval at which the host list is read, default 2 s.
+	HostListInterval time.Duration
+	// ReattachTimeout is how long an entry tries to reach an agent that holds a
 	// non-idempotent request, default 3 s.
-	ReattachFor time.Duration
-	// ResumeAfter is the same for an idempotent request, which may go on at
+	ReattachTimeout time.Duration
+	// ResumeTimeout is the same for an idempotent request, which may go on at
 	// another agent, default 500 ms.
-	ResumeAfter time.Duration
-	// AgentsPerEntry bounds the agents that one entry talks to, default 64.
-	AgentsPerEntry int
+	ResumeTimeout time.Duration
+	// MaxAgents bounds the agents that one entry talks to, default 64.
+	MaxAgents int
 
 	Logger  logging.Logger
 	Metrics *metrics.Set
@@ -56,33 +56,33 @@
 
 // Defaults of Config.
 const (
-	defaultHostsEvery     = 2 * time.Second
-	defaultReattachFor    = 3 * time.Second
-	defaultResumeAfter    = 500 * time.Millisecond
-	defaultAgentsPerEntry = 64
+	defaultHostListInterval = 2 * time.Second
+	defaultReattachTimeout  = 3 * time.Second
+	defaultResumeTimeout    = 500 * time.Millisecond
+	defaultMaxAgents        = 64
 )
 
 // Entry is one entry. Lock order: Entry.mu is taken last and nothing else is
 // taken under it.
 type Entry struct {
-	cfg      Config
-	log      logging.Logger
-	follower *config.Follower
-	manager  *ledger.Manager
-	budget   *online.RetryBudget
-	events   *eventLog
+	cfg         Config
+	log         logging.Logger
+	follower    *config.Follower
+	manager     *ledger.Manager
+	retryBudget *online.RetryBudget
+	events      *eventLog
 
-	mu        sync.Mutex
-	router    *routing.Router
-	agents    map[string]*node // by host name
-	entries   map[string]*node
-	limits    map[string]*limiter
-	leaving   bool
-	active    int
-	offsets   map[string]uint64 // node -> config offset it reported
-	hosts     []infra.Host      // the last host list
-	alive     int               // live entries, this one included
-	leavingBy map[string]bool   // agents that say so themselves
+	mu             sync.Mutex
+	router         *routing.Router
+	agents         map[string]*node // by host name
+	entries        map[string]*node
+	limits         map[string]*limiter
+	leaving        bool
+	inFlight       int
+	offsets        map[string]uint64 // node -> config offset it reported
+	hosts          []infra.Host      // the last host list
+	servingEntries int               // live entries, this one included
+	agentLeaving   map[string]bool   // agents that say so themselves
 }
 
 // node is another process that this entry talks to.
@@ -100,25 +100,25 @@
 
 // New returns an Entry. Run starts it.
 func New(cfg Config) *Entry {
-	defaults.Set(&cfg.HostsEvery, defaultHostsEvery)
-	defaults.Set(&cfg.ReattachFor, defaultReattachFor)
-	defaults.Set(&cfg.ResumeAfter, defaultResumeAfter)
-	defaults.Set(&cfg.AgentsPerEntry, defaultAgentsPerEntry)
+	defaults.Set(&cfg.HostListInterval, defaultHostListInterval)
+	defaults.Set(&cfg.ReattachTimeout, defaultReattachTimeout)
+	defaults.Set(&cfg.ResumeTimeout, defaultResumeTimeout)
+	defaults.Set(&cfg.MaxAgents, defaultMaxAgents)
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.New(cfg.Name)
 	}
 	cfg.Routing.DataCentre = cfg.DataCentre
 	e := &Entry{
-		cfg:       cfg,
-		log:       cfg.Logger.Part("entry"),
-		budget:    online.NewRetryBudget(),
-		events:    newEventLog(),
-		router:    routing.New(cfg.Routing),
-		agents:    make(map[string]*node),
-		entries:   make(map[string]*node),
-		limits:    make(map[string]*limiter),
-		offsets:   make(map[string]uint64),
-		leavingBy: make(map[string]bool),
+		cfg:          cfg,
+		log:          cfg.Logger.Part("entry"),
+		retryBudget:  online.NewRetryBudget(),
+		events:       newEventLog(),
+		router:       routing.New(cfg.Routing),
+		agents:       make(map[string]*node),
+		entries:      make(map[string]*node),
+		limits:       make(map[string]*limiter),
+		offsets:      make(map[string]uint64),
+		agentLeaving: make(map[string]bool),
 	}
 	e.follower = config.NewFollower(cfg.Log, cfg.Incarnation, cfg.Bootstrap, cfg.Logger)
 	e.follower.SetFetch(e.fetchConfig)
@@ -131,18 +131,18 @@
 	e.cfg.Link.Node = cfg.Name
 	e.cfg.Link.Incarnation = cfg.Incarnation
 	e.cfg.Link.Status = e.status
-	e.cfg.Link.OnStatus = e.noteStatus
-	e.cfg.Link.OnLost = e.noteLost
-	e.cfg.Link.Handle = e.handle
+	e.cfg.Link.OnStatus = e.handlePeerStatus
+	e.cfg.Link.OnLost = e.handlePeerLost
+	e.cfg.Link.Handle = e.handleCall
 	return e
 }
 
 // Run serves peers on ln and keeps the entry's state until ctx ends.
 func (e *Entry) Run(ctx context.Context, ln net.Listener) error {
 	go e.follower.Run(ctx)
-	go e.followHosts(ctx)
+	go e.pollHosts(ctx)
 	go e.manager.Run(ctx)
-	go e.keepConfigSnapshot(ctx)
+	go e.writeConfigSnapshots(ctx)
 	return link.Serve(ctx, ln, e.cfg.Link)
 }
 
@@ -167,28 +167,28 @@
 	_ = wait.For(ctx, balancer)
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	for e.activeRequests() > 0 && ctx.Err() == nil {
+	for e.inFlightRequests() > 0 && ctx.Err() == nil {
 		<-tick.C
 	}
-	cut := e.activeRequests()
+	cut := e.inFlightRequests()
 	e.manager.Leave(ctx)
 	return cut
 }
 
-func (e *Entry) activeRequests() int {
+func (e *Entry) inFlightRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.active
+	return e.inFlight
 }
 
-// enter counts a request in progress. The returned function ends it.
-func (e *Entry) enter() func() {
+// beginRequest counts a request in progress. The returned function ends it.
+func (e *Entry) beginRequest() func() {
 	e.mu.Lock()
-	e.active++
+	e.inFlight++
 	e.mu.Unlock()
 	return func() {
 		e.mu.Lock()
-		e.active--
+		e.inFlight--
 		e.mu.Unlock()
 	}
 }
@@ -200,12 +200,12 @@
 			share = ws.Share
 		}
 	})
-	return max(share, leastShare)
+	return max(share, minShare)
 }
 
-// leastShare is the weight of a workspace without a share. It gets what the
+// minShare is the weight of a workspace without a share. It gets what the
 // others leave.
-const leastShare = 0.001
+const minShare = 0.001
 
 func (e *Entry) status() *wire.NodeStatus {
 	e.mu.Lock()
@@ -220,8 +220,8 @@
 	}
 }
 
-// agentAt returns the name of the agent at an address. Entry.mu must be held.
-func (e *Entry) agentAt(addr string) string {
+// agentByAddr returns the name of the agent at an address. Entry.mu must be held.
+func (e *Entry) agentByAddr(addr string) string {
 	for name, n := range e.agents {
 		if n.host.Addr == addr {
 			return name
@@ -230,26 +230,26 @@
 	return ""
 }
 
-// noteLost takes an agent out of routing that cannot be reached.
-func (e *Entry) noteLost(addr string) {
+// handlePeerLost takes an agent out of routing that cannot be reached.
+func (e *Entry) handlePeerLost(addr string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.router.Lost(e.agentAt(addr))
+	e.router.Lost(e.agentByAddr(addr))
 }
 
-// noteStatus takes what a peer said of itself on a heartbeat.
-func (e *Entry) noteStatus(addr string, st *wire.NodeStatus) {
+// handlePeerStatus takes what a peer said of itself on a heartbeat.
+func (e *Entry) handlePeerStatus(addr string, st *wire.NodeStatus) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if st == nil {
-		e.router.Alive(time.Now(), e.agentAt(addr))
+		e.router.Alive(time.Now(), e.agentByAddr(addr))
 		return
 	}
 	e.offsets[st.GetNode()] = st.GetConfigOffset()
 	if e.agents[st.GetNode()] == nil {
 		return
 	}
-	e.leavingBy[st.GetNode()] = st.GetLeaving()
+	e.agentLeaving[st.GetNode()] = st.GetLeaving()
 	e.router.Note(time.Now(), st.GetNode(), routing.Report{
 		Incarnation: string(st.GetIncarnation()),
 		DataCentre:  st.GetDataCentre(),
@@ -262,8 +262,8 @@
 	})
 }
 
-// handle serves streams that other nodes open to this entry.
-func (e *Entry) handle(ctx context.Context, _ link.Class, call *wire.Call, st *link.Stream) {
+// handleCall serves streams that other nodes open to this entry.
+func (e *Entry) handleCall(ctx context.Context, _ link.Class, call *wire.Call, st *link.Stream) {
 	switch k := call.GetKind().(type) {
 	case *wire.Call_ConfigFetch:
 		// A reader that is gone asks again.
@@ -273,15 +273,15 @@
 	}
 }
 
-// allow takes one request of a workspace's rate limit. The limit is shared
+// allowRequest takes one request of a workspace's rate limit. The limit is shared
 // evenly among the live entries, because the balancer spreads requests evenly.
-func (e *Entry) allow(ws config.Workspace) bool {
+func (e *Entry) allowRequest(ws config.Workspace) bool {
 	if ws.Limit <= 0 {
 		return true
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	mine := ws.Limit / float64(max(e.alive, 1))
+	mine := ws.Limit / float64(max(e.servingEntries, 1))
 	l := e.limits[ws.Name]
 	if l == nil || l.perSecond != mine {
 		l = &limiter{perSecond: mine, bucket: rate.NewLimiter(rate.Limit(mine), int(mine)+1)}
@@ -296,12 +296,12 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// configSnapshotEvery is how many config records a snapshot may lie behind.
-const configSnapshotEvery = 500
+// maxSnapshotLagRecords is how many config records a snapshot may lie behind.
+const maxSnapshotLagRecords = 500
 
-// keepConfigSnapshot writes snapshots of the configuration now and then. The
+// writeConfigSnapshots writes snapshots of the configuration now and then. The
 // entry that is proposed for partition 0 does it, so that few write the same.
-func (e *Entry) keepConfigSnapshot(ctx context.Context) {
+func (e *Entry) writeConfigSnapshots(ctx context.Context) {
 	var written uint64
 	tick := time.NewTicker(5 * time.Second)
 	defer tick.Stop()
@@ -312,7 +312,7 @@
 		case <-tick.C:
 		}
 		offset := e.follower.Offset()
-		if offset < written+configSnapshotEvery || e.manager.Proposed(0) != e.cfg.Name {
+		if offset < written+maxSnapshotLagRecords || e.manager.Proposed(0) != e.cfg.Name {
 			continue
 		}
 		if err := e.follower.WriteSnapshot(ctx); err != nil {
--- a/entry/events.go
+++ b/entry/events.go
@@ -18,8 +18,8 @@
 
 // eventLog keeps the newest events.
 type eventLog struct {
-	mu   sync.Mutex
-	ring []Event
+	mu     sync.Mutex
+	events []Event
 }
 
 func newEventLog() *eventLog {
@@ -29,18 +29,18 @@
 func (l *eventLog) add(kind, subject, reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ring = append(l.ring, Event{Time: time.Now(), Kind: kind, Subject: subject, Reason: reason})
-	if len(l.ring) > maxEvents {
-		l.ring = l.ring[len(l.ring)-maxEvents:]
+	l.events = append(l.events, Event{Time: time.Now(), Kind: kind, Subject: subject, Reason: reason})
+	if len(l.events) > maxEvents {
+		l.events = l.events[len(l.events)-maxEvents:]
 	}
 }
 
-// about returns the kept events of a subject, or of all when it is empty.
-func (l *eventLog) about(subject string) []Event {
+// forSubject returns the kept events of a subject, or of all when it is empty.
+func (l *eventLog) forSubject(subject string) []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Event
-	for _, e := range l.ring {
+	for _, e := range l.events {
 		if subject == "" || e.Subject == subject {
 			out = append(out, e)
 		}
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -9,8 +9,8 @@
 	"pumiceford/wire"
 )
 
-// typed fails a fuzz run whose error has no type or claims that something ran.
-func typed(t *testing.T, err error) {
+// checkTyped fails a fuzz run whose error has no type or claims that something ran.
+func checkTyped(t *testing.T, err error) {
 	t.Helper()
 	var fail *apierr.Error
 	if err != nil && (!errors.As(err, &fail) || fail.Ran != wire.Ran_RAN_NO) {
@@ -24,7 +24,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte, chat bool) {
 		b, err := decodeCompletion(data, chat)
-		typed(t, err)
+		checkTyped(t, err)
 		if err == nil && (b.Model == "" || b.Prompt == "" || b.MaxTokens == 0) {
 			t.Fatalf("accepted %+v", b)
 		}
@@ -37,21 +37,21 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		_, window, err := decodeSubmit(data)
-		typed(t, err)
+		checkTyped(t, err)
 		if err == nil && (window <= 0 || window > maxWindow) {
 			t.Fatalf("accepted window %s", window)
 		}
 	})
 }
 
-func FuzzParsePlace(f *testing.F) {
+func FuzzParseObjectRef(f *testing.F) {
 	e := &Entry{cfg: Config{Ledger: ledger.Config{Partitions: 8}}}
-	for _, s := range []string{"", "batch_", "batch_" + place{partition: 3, id: make([]byte, 16)}.String(), "batch_ffff00"} {
+	for _, s := range []string{"", "batch_", "batch_" + objectRef{partition: 3, id: make([]byte, 16)}.String(), "batch_ffff00"} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, s string) {
-		p, err := e.parsePlace(prefixBatch, s)
-		typed(t, err)
+		p, err := e.parseObjectRef(prefixBatch, s)
+		checkTyped(t, err)
 		if err == nil && (p.partition >= 8 || len(p.id) != 16) {
 			t.Fatalf("accepted %+v", p)
 		}
--- a/entry/history_test.go
+++ b/entry/history_test.go
@@ -23,18 +23,18 @@
 
 // jobOutput is what its caller was told.
 type jobOutput struct {
-	known bool // false when the outcome is not known
-	none  bool // no such job
-	state string
-	done  uint32
+	known    bool // false when the outcome is not known
+	notFound bool // no such job
+	state    string
+	done     uint32
 }
 
 // jobModel is the state that callers may rely on. Items complete by themselves,
 // so the number of done items may have grown since the last call.
 type jobModel struct {
-	exists bool
-	ended  string // empty while the job runs
-	done   uint32
+	exists     bool
+	finalState string // empty while the job runs
+	done       uint32
 }
 
 // stepJob returns the states that a call may lead to, none when what its caller
@@ -42,9 +42,9 @@
 func stepJob(state, input, output any) []any {
 	s, in, out := state.(jobModel), input.(jobInput), output.(jobOutput)
 	if !out.known {
-		return unknownStep(s, in)
+		return stepUnknownOutcome(s, in)
 	}
-	if out.none {
+	if out.notFound {
 		if s.exists {
 			return nil
 		}
@@ -56,22 +56,22 @@
 	if !s.exists || out.done < s.done {
 		return nil
 	}
-	if s.ended != "" && (out.state != s.ended || out.done != s.done) {
+	if s.finalState != "" && (out.state != s.finalState || out.done != s.done) {
 		return nil
 	}
 	s.done = out.done
 	switch out.state {
 	case string(batch.JobCompleted), string(batch.JobCancelled):
-		s.ended = out.state
+		s.finalState = out.state
 	}
 	return []any{s}
 }
 
-func unknownStep(s jobModel, in jobInput) []any {
+func stepUnknownOutcome(s jobModel, in jobInput) []any {
 	switch {
 	case in.kind == "submit" && !s.exists:
 		return []any{s, jobModel{exists: true}}
-	case in.kind == "cancel" && s.exists && s.ended == "":
+	case in.kind == "cancel" && s.exists && s.finalState == "":
 		// It may have been cancelled with any number of items done; the next
 		// call tells which. A model that is still open allows for that.
 		return []any{s}
@@ -90,16 +90,16 @@
 
 // history gathers operations of concurrent callers.
 type history struct {
-	mu   sync.Mutex
-	tick int64
-	ops  []porcupine.Operation
+	mu    sync.Mutex
+	clock int64
+	ops   []porcupine.Operation
 }
 
 func (h *history) now() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.tick++
-	return h.tick
+	h.clock++
+	return h.clock
 }
 
 func (h *history) run(client int, in jobInput, call func() jobOutput) {
@@ -114,8 +114,8 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Call: began, Output: out, Return: ended})
 }
 
-func (w *world) jobCall(j *worldJob, at place, kind string, through int) jobOutput {
-	e := w.some(through)
+func (w *testCluster) callJob(j *testJob, at objectRef, kind string, through int) jobOutput {
+	e := w.runningEntry(through)
 	if e == nil {
 		return jobOutput{}
 	}
@@ -125,19 +125,19 @@
 	var err error
 	switch kind {
 	case "submit":
-		copied := worldJob{tag: j.tag, items: j.items, poison: -1, killer: -1}
+		copied := testJob{name: j.name, items: j.items, poisonIndex: -1, crashIndex: -1}
 		if err = w.submit(&copied, through, 3*time.Second); err == nil {
-			info, err = e.job(ctx, worldWorkspace, copied.at)
+			info, err = e.job(ctx, testWorkspace, copied.ref)
 		}
 	case "read":
-		info, err = e.job(ctx, worldWorkspace, at)
+		info, err = e.job(ctx, testWorkspace, at)
 	case "cancel":
 		var reply *wire.PeerReply
-		reply, err = e.Ask(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_CancelJob{CancelJob: &wire.CancelJob{Workspace: worldWorkspace.Name, Job: at.id}}})
+		reply, err = e.CallOwner(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_CancelJob{CancelJob: &wire.CancelJob{Workspace: testWorkspace.Name, Job: at.id}}})
 		info = reply.GetJob()
 	}
 	if apierr.Is(err, apierr.CodeNotFound) && kind != "submit" {
-		return jobOutput{known: true, none: true}
+		return jobOutput{known: true, notFound: true}
 	}
 	if err != nil || info.GetState() == "cancelling" {
 		return jobOutput{}
@@ -145,15 +145,15 @@
 	return jobOutput{known: true, state: info.GetState(), done: info.GetSucceeded() + info.GetFailed()}
 }
 
-// placeOf is where a job without a key ends up, known before it is sent.
-func (w *world) placeOf(j *worldJob) place {
-	e := w.some(0)
-	file := Digest16([]byte("file"), []byte(worldWorkspace.Name), j.file())
+// jobRefOf is where a job without a key ends up, known before it is sent.
+func (w *testCluster) jobRefOf(j *testJob) objectRef {
+	e := w.runningEntry(0)
+	file := Digest16([]byte("file"), []byte(testWorkspace.Name), j.file())
 	digest := Digest16(file, []byte("/v1/completions"), []byte(defaultWindow.String()), []byte("false"))
-	return place{partition: e.partitionOf(file), id: Digest16([]byte("job"), []byte(worldWorkspace.Name), digest)}
+	return objectRef{partition: e.partitionOf(file), id: Digest16([]byte("job"), []byte(testWorkspace.Name), digest)}
 }
 
-var historyKinds = []string{"freeze entry", "resume entry", "kill entry", "restart entry", "lose answers", "drop appends", "silence", "crash engine"}
+var historyStepKinds = []string{"freeze entry", "resume entry", "kill entry", "restart entry", "lose answers", "drop appends", "silence", "crash engine"}
 
 // Symptom: a caller sees a job that comes and goes, counts that shrink, or items
 // that complete after a cancel. Sequence: callers submit, read and cancel one job
@@ -162,42 +162,42 @@
 // superseded without knowing.
 func TestJobHistoriesAreLinearizable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		steps := drawSteps(rt, historyKinds, 1, 10)
+		steps := drawSteps(rt, historyStepKinds, 1, 10)
 		kinds := rapid.SliceOfN(rapid.SampledFrom([]string{"submit", "read", "read", "read", "cancel"}), 4, 14).Draw(rt, "calls")
-		if err := runHistory(t, steps, kinds); err != nil {
-			rt.Fatalf("%v\n%s", err, storyText(steps))
+		if err := runHistoryScenario(t, steps, kinds); err != nil {
+			rt.Fatalf("%v\n%s", err, formatSteps(steps))
 		}
 	})
 }
 
-func runHistory(t *testing.T, steps []step, kinds []string) error {
+func runHistoryScenario(t *testing.T, steps []step, kinds []string) error {
 	var failure error
-	bubble(t, func(*testing.T) {
-		w := newWorld(worldSettings{entries: 2, agents: 2, partitions: 2, snapshotEvery: 40, hostLag: 300 * time.Millisecond})
+	runInBubble(t, func(*testing.T) {
+		w := newTestCluster(clusterSettings{entries: 2, agents: 2, partitions: 2, snapshotEvery: 40, hostLag: 300 * time.Millisecond})
 		defer w.close()
-		if failure = await(time.Minute, func() error { return w.configure(w.ctx) }); failure != nil {
+		if failure = eventually(time.Minute, func() error { return w.configureModel(w.ctx) }); failure != nil {
 			return
 		}
 		time.Sleep(2 * time.Second)
-		j := &worldJob{tag: "history", items: 30, poison: -1, killer: -1}
-		at := w.placeOf(j)
+		j := &testJob{name: "history", items: 30, poisonIndex: -1, crashIndex: -1}
+		at := w.jobRefOf(j)
 		h := &history{}
 		var wg sync.WaitGroup
 		const clients = 3
 		for c := range clients {
 			wg.Go(func() {
 				for n := c; n < len(kinds); n += clients {
-					h.run(c, jobInput{kind: kinds[n]}, func() jobOutput { return w.jobCall(j, at, kinds[n], c) })
+					h.run(c, jobInput{kind: kinds[n]}, func() jobOutput { return w.callJob(j, at, kinds[n], c) })
 					time.Sleep(100 * time.Millisecond)
 				}
 			})
 		}
 		for _, s := range steps {
 			time.Sleep(s.After)
-			var none []*worldJob
-			w.play(s, &none)
+			var none []*testJob
+			w.applyStep(s, &none)
 		}
-		w.heal()
+		w.clearFaults()
 		wg.Wait()
 		if !porcupine.CheckOperations(jobHistoryModel(), h.ops) {
 			failure = fmt.Errorf("history is not linearizable: %+v", h.ops)
@@ -210,22 +210,22 @@
 // Sequence: the owner is paused, the other entry takes over and cancels, the
 // first one resumes and is asked at once. Cause guarded against: answers from
 // memory of an owner that has not read the log since its pause.
-func TestReadThroughAResumedOwner(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		w := newWorld(worldSettings{entries: 2, agents: 1, partitions: 2, snapshotEvery: 100})
+func TestResumedOwnerServesNoStaleState(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		w := newTestCluster(clusterSettings{entries: 2, agents: 1, partitions: 2, snapshotEvery: 100})
 		defer w.close()
-		if err := await(time.Minute, func() error { return w.configure(w.ctx) }); err != nil {
+		if err := eventually(time.Minute, func() error { return w.configureModel(w.ctx) }); err != nil {
 			t.Fatal(err)
 		}
-		j := &worldJob{tag: "resumed", items: 3000, poison: -1, killer: -1}
-		if err := await(time.Minute, func() error { return w.submit(j, 0, 10*time.Second) }); err != nil {
+		j := &testJob{name: "resumed", items: 3000, poisonIndex: -1, crashIndex: -1}
+		if err := eventually(time.Minute, func() error { return w.submit(j, 0, 10*time.Second) }); err != nil {
 			t.Fatal(err)
 		}
-		name := w.some(0).manager.Proposed(j.at.partition)
+		name := w.runningEntry(0).manager.Proposed(j.ref.partition)
 		owner := w.entries[name]
 		owner.host.pause()
 		w.hosts.Remove(name)
-		if err := await(time.Minute, func() error {
+		if err := eventually(time.Minute, func() error {
 			w.cancelJob(j, 0, 5*time.Second)
 			if !j.cancelled {
 				return errPipeDown
@@ -237,7 +237,7 @@
 		owner.host.resume()
 		for range 50 {
 			ctx, cancel := context.WithTimeout(w.ctx, 200*time.Millisecond)
-			info, err := owner.job(ctx, worldWorkspace, j.at)
+			info, err := owner.job(ctx, testWorkspace, j.ref)
 			cancel()
 			if err == nil && info.GetState() != "cancelled" {
 				t.Fatalf("after the cancel the resumed owner says %s", info.GetState())
--- a/entry/hosts.go
+++ b/entry/hosts.go
@@ -15,9 +15,9 @@
 	"pumiceford/wire"
 )
 
-// followHosts keeps the nodes in step with the platform's host list and the
+// pollHosts keeps the nodes in step with the platform's host list and the
 // drains that operators put in force. While the list is down the last one stands.
-func (e *Entry) followHosts(ctx context.Context) {
+func (e *Entry) pollHosts(ctx context.Context) {
 	var last []infra.Host
 	for ctx.Err() == nil {
 		changed := e.follower.Changed()
@@ -26,7 +26,7 @@
 			last = hosts
 		}
 		e.setHosts(ctx, last)
-		timer := time.NewTimer(e.cfg.HostsEvery)
+		timer := time.NewTimer(e.cfg.HostListInterval)
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -58,13 +58,13 @@
 		}
 	}
 	e.manager.SetEntries(alive, staying)
-	agents = e.subset(agents)
+	agents = e.agentSubset(agents)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.alive = max(len(staying), 1)
+	e.servingEntries = max(len(staying), 1)
 	e.hosts = hosts
-	e.reconcile(ctx, e.agents, agents, true)
-	e.reconcile(ctx, e.entries, entries, false)
+	e.reconcileNodes(ctx, e.agents, agents, true)
+	e.reconcileNodes(ctx, e.entries, entries, false)
 	for name, h := range agents {
 		e.router.SetDrained(name, h.Leaving)
 	}
@@ -76,10 +76,10 @@
 	return drained
 }
 
-// subset keeps the agents that rendezvous hashing gives to this entry, so that
+// agentSubset keeps the agents that rendezvous hashing gives to this entry, so that
 // connections and reports stay flat as the fleet grows.
-func (e *Entry) subset(agents map[string]infra.Host) map[string]infra.Host {
-	if len(agents) <= e.cfg.AgentsPerEntry {
+func (e *Entry) agentSubset(agents map[string]infra.Host) map[string]infra.Host {
+	if len(agents) <= e.cfg.MaxAgents {
 		return agents
 	}
 	names := make([]string, 0, len(agents))
@@ -87,14 +87,14 @@
 		names = append(names, name)
 	}
 	out := make(map[string]infra.Host)
-	for _, name := range routing.Top(names, routing.PrefixKey("entry", e.cfg.Name), e.cfg.AgentsPerEntry) {
+	for _, name := range routing.Top(names, routing.PrefixKey("entry", e.cfg.Name), e.cfg.MaxAgents) {
 		out[name] = agents[name]
 	}
 	return out
 }
 
-// reconcile makes nodes match the hosts. Entry.mu must be held.
-func (e *Entry) reconcile(ctx context.Context, nodes map[string]*node, hosts map[string]infra.Host, agents bool) {
+// reconcileNodes makes nodes match the hosts. Entry.mu must be held.
+func (e *Entry) reconcileNodes(ctx context.Context, nodes map[string]*node, hosts map[string]infra.Host, agents bool) {
 	for name, n := range nodes {
 		if h, ok := hosts[name]; ok && h.Addr == n.host.Addr {
 			n.host = h
@@ -106,7 +106,7 @@
 		delete(e.offsets, name)
 		if agents {
 			e.router.Remove(name)
-			delete(e.leavingBy, name)
+			delete(e.agentLeaving, name)
 		}
 	}
 	for name, h := range hosts {
@@ -118,13 +118,13 @@
 		nodes[name] = n
 		if agents {
 			e.router.Add(name, h.Addr)
-			go n.peer.Keep(nctx, link.Control, redialPause)
+			go n.peer.Keep(nctx, link.Control, redialDelay)
 		}
 	}
 }
 
-// redialPause is the wait between dials of a node that cannot be reached.
-const redialPause = 200 * time.Millisecond
+// redialDelay is the wait between dials of a node that cannot be reached.
+const redialDelay = 200 * time.Millisecond
 
 func (e *Entry) agent(name string) *node {
 	e.mu.Lock()
@@ -135,7 +135,7 @@
 // feedAgents keeps a batch stream open from a partition owner to each agent.
 func (e *Entry) feedAgents(ctx context.Context, o *ledger.Owner) {
 	fed := make(map[string]context.CancelFunc)
-	tick := time.NewTicker(redialPause)
+	tick := time.NewTicker(redialDelay)
 	defer tick.Stop()
 	for {
 		e.mu.Lock()
@@ -168,7 +168,7 @@
 		if o.Ready() {
 			e.feedOnce(ctx, o, name, n)
 		}
-		_ = wait.For(ctx, redialPause)
+		_ = wait.For(ctx, redialDelay)
 	}
 }
 
@@ -221,16 +221,16 @@
 
 // Bounds of calls to partition owners.
 const (
-	ownerPatience   = 8 * time.Second // for a partition that is changing hands
-	ownerRetryPause = 200 * time.Millisecond
+	ownerRetryTimeout = 8 * time.Second // for a partition that is changing hands
+	ownerRetryDelay   = 200 * time.Millisecond
 )
 
-// Ask sends a request to the owner of a partition, wherever it is, and waits for
+// CallOwner sends a request to the owner of a partition, wherever it is, and waits for
 // a partition that is changing hands. All such requests may be repeated.
-func (e *Entry) Ask(ctx context.Context, req *wire.PeerRequest) (*wire.PeerReply, error) {
-	until := time.Now().Add(ownerPatience)
+func (e *Entry) CallOwner(ctx context.Context, req *wire.PeerRequest) (*wire.PeerReply, error) {
+	until := time.Now().Add(ownerRetryTimeout)
 	for {
-		reply := e.askOnce(ctx, req)
+		reply := e.callOwnerOnce(ctx, req)
 		if reply.GetFailure() == nil {
 			return reply, nil
 		}
@@ -239,11 +239,11 @@
 		if !again {
 			return nil, err
 		}
-		_ = wait.For(ctx, ownerRetryPause)
+		_ = wait.For(ctx, ownerRetryDelay)
 	}
 }
 
-func (e *Entry) askOnce(ctx context.Context, req *wire.PeerRequest) *wire.PeerReply {
+func (e *Entry) callOwnerOnce(ctx context.Context, req *wire.PeerRequest) *wire.PeerReply {
 	owner := e.manager.Proposed(req.GetPartition())
 	if owner == e.cfg.Name {
 		return e.servePeer(ctx, req)
@@ -252,18 +252,18 @@
 	n := e.entries[owner]
 	e.mu.Unlock()
 	if n == nil {
-		return failed(apierr.New(apierr.CodeNotOwner, "no entry owns the partition").After(time.Second))
+		return failureReply(apierr.New(apierr.CodeNotOwner, "no entry owns the partition").After(time.Second))
 	}
 	reply := &wire.PeerReply{}
 	call := &wire.Call{Kind: &wire.Call_Peer{Peer: req}}
 	if err := n.peer.Call(ctx, link.Batch, call, reply); err != nil {
 		e.log.Debug("owner not reached", logging.F("owner", owner), logging.F("error", err.Error()))
-		return failed(apierr.Unknown(apierr.CodeNotOwner, "the partition's owner does not answer").After(time.Second))
+		return failureReply(apierr.Unknown(apierr.CodeNotOwner, "the partition's owner does not answer").After(time.Second))
 	}
 	return reply
 }
 
-func failed(err *apierr.Error) *wire.PeerReply {
+func failureReply(err *apierr.Error) *wire.PeerReply {
 	return &wire.PeerReply{Failure: err.ToWire()}
 }
 
@@ -271,7 +271,7 @@
 func (e *Entry) servePeer(ctx context.Context, req *wire.PeerRequest) *wire.PeerReply {
 	o := e.manager.Owner(req.GetPartition())
 	if o == nil {
-		return failed(apierr.New(apierr.CodeNotOwner, "partition is changing hands").After(time.Second))
+		return failureReply(apierr.New(apierr.CodeNotOwner, "partition is changing hands").After(time.Second))
 	}
 	return o.Serve(ctx, req)
 }
--- a/entry/inforce.go
+++ b/entry/inforce.go
@@ -14,26 +14,26 @@
 )
 
 // Bounds of asking the fleet for its offsets.
-const probesAtOnce = 32
+const maxConcurrentProbes = 32
 
-// laggards names the nodes of the host list that have not reached an offset.
+// laggingNodes names the nodes of the host list that have not reached an offset.
 // Nodes that report to this entry on heartbeats are not asked; the others are,
 // since keeping a connection from every entry to every node would cost more than
 // a few hundred changes a day are worth.
-func (e *Entry) laggards(ctx context.Context, offset uint64) []string {
+func (e *Entry) laggingNodes(ctx context.Context, offset uint64) []string {
 	e.mu.Lock()
 	hosts := slices.Clone(e.hosts)
 	e.mu.Unlock()
 	var mu sync.Mutex
 	out := []string{}
 	var g errgroup.Group
-	g.SetLimit(probesAtOnce)
+	g.SetLimit(maxConcurrentProbes)
 	for _, h := range hosts {
-		if e.offsetOf(h.Name) >= offset {
+		if e.knownOffset(h.Name) >= offset {
 			continue
 		}
 		g.Go(func() error {
-			if e.probe(ctx, h) >= offset {
+			if e.probeOffset(ctx, h) >= offset {
 				return nil
 			}
 			mu.Lock()
@@ -48,7 +48,7 @@
 	return out
 }
 
-func (e *Entry) offsetOf(name string) uint64 {
+func (e *Entry) knownOffset(name string) uint64 {
 	if name == e.cfg.Name {
 		return e.follower.Offset()
 	}
@@ -57,9 +57,9 @@
 	return e.offsets[name]
 }
 
-// probe asks a node for the config offset that it has reached, 0 when it does
+// probeOffset asks a node for the config offset that it has reached, 0 when it does
 // not answer.
-func (e *Entry) probe(ctx context.Context, h infra.Host) uint64 {
+func (e *Entry) probeOffset(ctx context.Context, h infra.Host) uint64 {
 	e.mu.Lock()
 	n := e.entries[h.Name]
 	if n == nil {
--- a/entry/ledger_fault_test.go
+++ b/entry/ledger_fault_test.go
@@ -18,42 +18,42 @@
 	"pumiceford/wire"
 )
 
-// worldJob is what the oracle knows of a job: only what was told to its caller.
-type worldJob struct {
-	tag       string
-	items     int
-	poison    int // index of an item that can never be done, -1 for none
-	killer    int // index of an item that kills its engine, -1 for none
-	nonIdem   bool
-	key       string
-	at        place
-	accepted  bool
-	cancelled bool // "cancelled" was told
-	doneAtEnd uint32
-	runsThen  map[string]int
+// testJob is what the oracle knows of a job: only what was told to its caller.
+type testJob struct {
+	name          string
+	items         int
+	poisonIndex   int // index of an item that can never be done, -1 for none
+	crashIndex    int // index of an item that kills its engine, -1 for none
+	nonIdempotent bool
+	key           string
+	ref           objectRef
+	accepted      bool
+	cancelled     bool // "cancelled" was told
+	doneAtCancel  uint32
+	runsAtCancel  map[string]int
 }
 
-const worldTokens = 6
+const testMaxTokens = 6
 
-var worldWorkspace = config.Workspace{Name: "boutiques", Share: 0.5}
+var testWorkspace = config.Workspace{Name: "boutiques", Share: 0.5}
 
-func (j *worldJob) prompt(n int) string {
-	p := fmt.Sprintf("measurement note %s %d", j.tag, n)
-	if n == j.poison {
+func (j *testJob) prompt(n int) string {
+	p := fmt.Sprintf("measurement note %s %d", j.name, n)
+	if n == j.poisonIndex {
 		p += standin.MarkPoison
 	}
-	if n == j.killer {
+	if n == j.crashIndex {
 		p += standin.MarkKill
 	}
 	return p
 }
 
-func (j *worldJob) file() []byte {
+func (j *testJob) file() []byte {
 	var b bytes.Buffer
 	for n := range j.items {
 		line, _ := json.Marshal(map[string]any{
-			"custom_id": fmt.Sprintf("%s-%d", j.tag, n),
-			"body":      map[string]any{"model": worldModel, "prompt": j.prompt(n), "max_tokens": worldTokens},
+			"custom_id": fmt.Sprintf("%s-%d", j.name, n),
+			"body":      map[string]any{"model": testModel, "prompt": j.prompt(n), "max_tokens": testMaxTokens},
 		})
 		b.Write(line)
 		b.WriteByte('\n')
@@ -63,53 +63,53 @@
 
 // submit sends the job through an entry, as often as needed, and returns whether
 // it was accepted within the bound.
-func (w *world) submit(j *worldJob, through int, bound time.Duration) error {
+func (w *testCluster) submit(j *testJob, through int, bound time.Duration) error {
 	ctx, cancel := context.WithTimeout(w.ctx, bound)
 	defer cancel()
-	e := w.some(through)
+	e := w.runningEntry(through)
 	if e == nil {
 		return errPipeDown
 	}
-	at, err := e.storeFile(ctx, worldWorkspace.Name, j.tag, j.file())
+	at, err := e.storeFile(ctx, testWorkspace.Name, j.name, j.file())
 	if err != nil {
 		return err
 	}
-	req := &Request{Key: j.key, NonIdempotent: j.nonIdem}
+	req := &Request{Key: j.key, NonIdempotent: j.nonIdempotent}
 	body := submitBody{Endpoint: "/v1/completions"}
-	_, job, err := e.submit(ctx, worldWorkspace, req, body, defaultWindow, at)
+	_, job, err := e.submit(ctx, testWorkspace, req, body, defaultWindow, at)
 	if err != nil {
 		return err
 	}
-	if j.accepted && job.String() != j.at.String() {
-		return fmt.Errorf("resend of %s became job %s, was %s", j.tag, job, j.at)
+	if j.accepted && job.String() != j.ref.String() {
+		return fmt.Errorf("resend of %s became job %s, was %s", j.name, job, j.ref)
 	}
-	j.at = job
+	j.ref = job
 	j.accepted = true
 	return nil
 }
 
-func (w *world) cancelJob(j *worldJob, through int, bound time.Duration) {
+func (w *testCluster) cancelJob(j *testJob, through int, bound time.Duration) {
 	ctx, cancel := context.WithTimeout(w.ctx, bound)
 	defer cancel()
-	e := w.some(through)
+	e := w.runningEntry(through)
 	if e == nil || !j.accepted {
 		return
 	}
-	reply, err := e.Ask(ctx, &wire.PeerRequest{Partition: j.at.partition, Kind: &wire.PeerRequest_CancelJob{CancelJob: &wire.CancelJob{
-		Workspace: worldWorkspace.Name, Job: j.at.id,
+	reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: j.ref.partition, Kind: &wire.PeerRequest_CancelJob{CancelJob: &wire.CancelJob{
+		Workspace: testWorkspace.Name, Job: j.ref.id,
 	}}})
 	if err != nil || reply.GetJob().GetState() != "cancelled" || j.cancelled {
 		return
 	}
 	j.cancelled = true
-	j.doneAtEnd = reply.GetJob().GetSucceeded() + reply.GetJob().GetFailed()
-	j.runsThen = w.runsOf(j)
+	j.doneAtCancel = reply.GetJob().GetSucceeded() + reply.GetJob().GetFailed()
+	j.runsAtCancel = w.countItemRuns(j)
 }
 
-// runsOf counts engine executions by item of a job.
-func (w *world) runsOf(j *worldJob) map[string]int {
+// countItemRuns counts engine executions by item of a job.
+func (w *testCluster) countItemRuns(j *testJob) map[string]int {
 	out := make(map[string]int)
-	prefix := fmt.Sprintf("b%d-%x-", j.at.partition, j.at.id)
+	prefix := fmt.Sprintf("b%d-%x-", j.ref.partition, j.ref.id)
 	for _, e := range w.engines {
 		for id, n := range e.AllRuns() {
 			if strings.HasPrefix(id, prefix) {
@@ -120,11 +120,11 @@
 	return out
 }
 
-// configure puts the model in force.
-func (w *world) configure(ctx context.Context) error {
+// configureModel puts the model in force.
+func (w *testCluster) configureModel(ctx context.Context) error {
 	op := config.Operator{Name: "dev", Scope: config.ScopeFleet}
-	e := w.some(0)
-	v, err := e.follower.Propose(ctx, op, "", []config.Intent{{Kind: config.SetModel, Model: worldModel, Version: "v1"}})
+	e := w.runningEntry(0)
+	v, err := e.follower.Propose(ctx, op, "", []config.Intent{{Kind: config.SetModel, Model: testModel, Version: "v1"}})
 	if err != nil {
 		return err
 	}
@@ -136,8 +136,8 @@
 	return err
 }
 
-// await repeats try in virtual time until it succeeds or bound has passed.
-func await(bound time.Duration, try func() error) error {
+// eventually repeats try in virtual time until it succeeds or bound has passed.
+func eventually(bound time.Duration, try func() error) error {
 	until := time.Now().Add(bound)
 	for {
 		err := try()
@@ -148,21 +148,21 @@
 	}
 }
 
-// checkEnd compares a job with what the oracle knows, after all faults ended.
-func (w *world) checkEnd(j *worldJob) error {
+// checkFinalState compares a job with what the oracle knows, after all faults ended.
+func (w *testCluster) checkFinalState(j *testJob) error {
 	if !j.accepted {
 		return nil
 	}
 	var info *wire.JobInfo
-	err := await(2*time.Minute, func() error {
+	err := eventually(2*time.Minute, func() error {
 		ctx, cancel := context.WithTimeout(w.ctx, 30*time.Second)
 		defer cancel()
-		got, err := w.some(0).job(ctx, worldWorkspace, j.at)
+		got, err := w.runningEntry(0).job(ctx, testWorkspace, j.ref)
 		if err != nil {
 			return err
 		}
 		if got.GetState() != "completed" && got.GetState() != "cancelled" {
-			return fmt.Errorf("job %s is %s: %d succeeded and %d failed of %d", j.tag, got.GetState(), got.GetSucceeded(), got.GetFailed(), got.GetTotal())
+			return fmt.Errorf("job %s is %s: %d succeeded and %d failed of %d", j.name, got.GetState(), got.GetSucceeded(), got.GetFailed(), got.GetTotal())
 		}
 		info = got
 		return nil
@@ -173,22 +173,22 @@
 	return w.checkItems(j, info)
 }
 
-func (w *world) checkItems(j *worldJob, info *wire.JobInfo) error {
+func (w *testCluster) checkItems(j *testJob, info *wire.JobInfo) error {
 	if int(info.GetTotal()) != j.items {
-		return fmt.Errorf("job %s has %d items, sent %d", j.tag, info.GetTotal(), j.items)
+		return fmt.Errorf("job %s has %d items, sent %d", j.name, info.GetTotal(), j.items)
 	}
 	if j.cancelled {
-		if done := info.GetSucceeded() + info.GetFailed(); info.GetState() != "cancelled" || done != j.doneAtEnd {
-			return fmt.Errorf("job %s: %d items completed after the cancel was told", j.tag, done-j.doneAtEnd)
+		if done := info.GetSucceeded() + info.GetFailed(); info.GetState() != "cancelled" || done != j.doneAtCancel {
+			return fmt.Errorf("job %s: %d items completed after the cancel was told", j.name, done-j.doneAtCancel)
 		}
-		for id, n := range w.runsOf(j) {
-			if n != j.runsThen[id] {
-				return fmt.Errorf("job %s: item %s started after the cancel was told", j.tag, id)
+		for id, n := range w.countItemRuns(j) {
+			if n != j.runsAtCancel[id] {
+				return fmt.Errorf("job %s: item %s started after the cancel was told", j.name, id)
 			}
 		}
 	}
-	if j.nonIdem {
-		for id, n := range w.runsOf(j) {
+	if j.nonIdempotent {
+		for id, n := range w.countItemRuns(j) {
 			if n > 1 {
 				return fmt.Errorf("non-idempotent item %s ran %d times", id, n)
 			}
@@ -197,15 +197,15 @@
 	return w.checkResults(j, info)
 }
 
-func (w *world) checkResults(j *worldJob, info *wire.JobInfo) error {
-	for n := range w.set.entries {
+func (w *testCluster) checkResults(j *testJob, info *wire.JobInfo) error {
+	for n := range w.settings.entries {
 		ctx, cancel := context.WithTimeout(w.ctx, time.Minute)
-		reply, err := w.some(n).Ask(ctx, &wire.PeerRequest{Partition: j.at.partition, Kind: &wire.PeerRequest_ReadResults{ReadResults: &wire.ReadResults{
-			Workspace: worldWorkspace.Name, Job: j.at.id,
+		reply, err := w.runningEntry(n).CallOwner(ctx, &wire.PeerRequest{Partition: j.ref.partition, Kind: &wire.PeerRequest_ReadResults{ReadResults: &wire.ReadResults{
+			Workspace: testWorkspace.Name, Job: j.ref.id,
 		}}})
 		cancel()
 		if err != nil {
-			return fmt.Errorf("results of %s: %w", j.tag, err)
+			return fmt.Errorf("results of %s: %w", j.name, err)
 		}
 		if err := j.checkLines(reply.GetResults().GetLines(), info); err != nil {
 			return err
@@ -214,13 +214,13 @@
 	return nil
 }
 
-func (j *worldJob) checkLines(lines []*wire.ResultLine, info *wire.JobInfo) error {
+func (j *testJob) checkLines(lines []*wire.ResultLine, info *wire.JobInfo) error {
 	if len(lines) != j.items {
-		return fmt.Errorf("job %s: %d results of %d items", j.tag, len(lines), j.items)
+		return fmt.Errorf("job %s: %d results of %d items", j.name, len(lines), j.items)
 	}
 	for n, l := range lines {
-		if l.GetCustomId() != fmt.Sprintf("%s-%d", j.tag, n) {
-			return fmt.Errorf("job %s: result %d is of %s", j.tag, n, l.GetCustomId())
+		if l.GetCustomId() != fmt.Sprintf("%s-%d", j.name, n) {
+			return fmt.Errorf("job %s: result %d is of %s", j.name, n, l.GetCustomId())
 		}
 		if err := j.checkLine(n, l, info); err != nil {
 			return err
@@ -229,29 +229,29 @@
 	return nil
 }
 
-func (j *worldJob) checkLine(n int, l *wire.ResultLine, info *wire.JobInfo) error {
+func (j *testJob) checkLine(n int, l *wire.ResultLine, info *wire.JobInfo) error {
 	switch l.GetState() {
 	case "succeeded":
-		if want := standin.AnswerText(j.prompt(n), worldTokens); string(l.GetText()) != want {
-			return fmt.Errorf("job %s item %d: got %q, want %q", j.tag, n, l.GetText(), want)
+		if want := standin.AnswerText(j.prompt(n), testMaxTokens); string(l.GetText()) != want {
+			return fmt.Errorf("job %s item %d: got %q, want %q", j.name, n, l.GetText(), want)
 		}
-		if n == j.poison || n == j.killer {
-			return fmt.Errorf("job %s item %d can never be done and succeeded", j.tag, n)
+		if n == j.poisonIndex || n == j.crashIndex {
+			return fmt.Errorf("job %s item %d can never be done and succeeded", j.name, n)
 		}
 	case "failed":
 		if l.GetReason() == "" {
-			return fmt.Errorf("job %s item %d failed without a reason", j.tag, n)
+			return fmt.Errorf("job %s item %d failed without a reason", j.name, n)
 		}
-		unknown := j.nonIdem && l.GetReason() != ledger.ReasonTargetLost
-		if n != j.poison && n != j.killer && !unknown {
-			return fmt.Errorf("job %s item %d failed: %s", j.tag, n, l.GetReason())
+		unknown := j.nonIdempotent && l.GetReason() != ledger.ReasonTargetLost
+		if n != j.poisonIndex && n != j.crashIndex && !unknown {
+			return fmt.Errorf("job %s item %d failed: %s", j.name, n, l.GetReason())
 		}
 	case "cancelled":
 		if info.GetState() != "cancelled" {
-			return fmt.Errorf("job %s item %d is cancelled in a job that is %s", j.tag, n, info.GetState())
+			return fmt.Errorf("job %s item %d is cancelled in a job that is %s", j.name, n, info.GetState())
 		}
 	default:
-		return fmt.Errorf("job %s item %d is %s", j.tag, n, l.GetState())
+		return fmt.Errorf("job %s item %d is %s", j.name, n, l.GetState())
 	}
 	return nil
 }
@@ -289,21 +289,21 @@
 	}), 1, most).Draw(t, "steps")
 }
 
-// play carries out one step. Submits and cancels run beside the faults.
-func (w *world) play(s step, jobs *[]*worldJob) {
+// applyStep carries out one step. Submits and cancels run beside the faults.
+func (w *testCluster) applyStep(s step, jobs *[]*testJob) {
 	switch s.Kind {
 	case "submit":
-		j := &worldJob{tag: fmt.Sprintf("job%d", len(*jobs)), items: 3 + 4*s.B, poison: -1, killer: -1}
+		j := &testJob{name: fmt.Sprintf("job%d", len(*jobs)), items: 3 + 4*s.B, poisonIndex: -1, crashIndex: -1}
 		switch s.B % 4 {
 		case 0:
-			j.poison = 1
+			j.poisonIndex = 1
 		case 1:
-			j.killer = 2
+			j.crashIndex = 2
 		case 2:
-			j.nonIdem = true
+			j.nonIdempotent = true
 		}
 		if s.A == 0 {
-			j.key = "key-" + j.tag
+			j.key = "key-" + j.name
 		}
 		*jobs = append(*jobs, j)
 		_ = w.submit(j, s.A, 3*time.Second)
@@ -320,31 +320,31 @@
 			w.killEntry(entryName(s.A))
 		}
 	case "restart entry":
-		if w.entries[entryName(s.A)] == nil && s.A < w.set.entries {
+		if w.entries[entryName(s.A)] == nil && s.A < w.settings.entries {
 			w.startEntry(entryName(s.A))
 		}
 	case "pause entry":
-		if e := w.entries[entryName(s.A)]; e != nil && w.awake() > 1 {
+		if e := w.entries[entryName(s.A)]; e != nil && w.unpausedEntries() > 1 {
 			e.host.pause()
 		}
 	case "resume entry":
 		if e := w.entries[entryName(s.A)]; e != nil {
 			e.host.resume()
-			w.relist(entryName(s.A))
+			w.restoreToHostList(entryName(s.A))
 		}
 	case "freeze entry":
 		// A paused host that the list drops, as if it were dead.
-		if e := w.entries[entryName(s.A)]; e != nil && w.awake() > 1 {
+		if e := w.entries[entryName(s.A)]; e != nil && w.unpausedEntries() > 1 {
 			e.host.pause()
 			w.hosts.Remove(entryName(s.A))
 		}
 	default:
-		w.playTarget(s)
+		w.applyBackendStep(s)
 	}
 }
 
-func (w *world) playTarget(s step) {
-	name := agentName(s.A % w.set.agents)
+func (w *testCluster) applyBackendStep(s step) {
+	name := agentName(s.A % w.settings.agents)
 	switch s.Kind {
 	case "kill agent":
 		w.killAgent(name)
@@ -355,7 +355,7 @@
 	case "crash engine":
 		w.engines[name].Crash()
 	case "silence":
-		w.net.silence(entryName(s.A%w.set.entries), agentName(s.B%w.set.agents))
+		w.net.silenceConns(entryName(s.A%w.settings.entries), agentName(s.B%w.settings.agents))
 	case "log down":
 		w.log.SetDown(true)
 	case "log up":
@@ -369,7 +369,7 @@
 	}
 }
 
-func (w *world) awake() int {
+func (w *testCluster) unpausedEntries() int {
 	n := 0
 	for _, e := range w.entries {
 		if !e.host.isPaused() {
@@ -379,62 +379,62 @@
 	return n
 }
 
-// heal ends all faults.
-func (w *world) heal() {
+// clearFaults ends all faults.
+func (w *testCluster) clearFaults() {
 	w.log.SetDown(false)
 	w.log.LoseAnswers(0)
 	w.log.DropAppends(0)
 	w.log.SetFaultRates(0, 0)
-	w.net.healAll()
-	for n := range w.set.entries {
+	w.net.resumeAll()
+	for n := range w.settings.entries {
 		if w.entries[entryName(n)] == nil {
 			w.startEntry(entryName(n))
 			continue
 		}
-		w.relist(entryName(n))
+		w.restoreToHostList(entryName(n))
 	}
-	for n := range w.set.agents {
+	for n := range w.settings.agents {
 		if w.agents[agentName(n)] == nil {
 			w.startAgent(agentName(n))
 		}
 	}
 }
 
-// relist puts a living entry back on the host list.
-func (w *world) relist(name string) {
+// restoreToHostList puts a living entry back on the host list.
+func (w *testCluster) restoreToHostList(name string) {
 	w.hosts.Put(hostOf(name))
 }
 
-// runLedgerStory plays steps in virtual time and compares the end with the oracle.
-func runLedgerStory(t *testing.T, steps []step, trimmed bool) error {
+// runLedgerScenario plays steps in virtual time and compares the end with the oracle.
+func runLedgerScenario(t *testing.T, steps []step, trimmed bool) error {
 	var failure error
-	bubble(t, func(*testing.T) {
-		set := worldSettings{entries: 2, agents: 2, partitions: 2, snapshotEvery: 40, hostLag: 300 * time.Millisecond}
+	runInBubble(t, func(*testing.T) {
+		set := clusterSettings{entries: 2, agents: 2, partitions: 2, snapshotEvery: 40, hostLag: 300 * time.Millisecond}
 		if trimmed {
 			set.log.RetainRecords = 400
 		}
-		w := newWorld(set)
+		w := newTestCluster(set)
 		defer w.close()
-		failure = await(time.Minute, func() error { return w.configure(w.ctx) })
+		failure = eventually(time.Minute, func() error { return w.configureModel(w.ctx) })
 		if failure != nil {
 			return
 		}
-		var jobs []*worldJob
+		var jobs []*testJob
 		for _, s := range steps {
 			time.Sleep(s.After)
-			w.play(s, &jobs)
+			w.applyStep(s, &jobs)
 		}
-		w.heal()
+		w.clearFaults()
 		for n, j := range jobs {
 			// Callers resend in the end; an accepted job must be met again, and
 			// any other accepted now.
-			if failure = await(2*time.Minute, func() error { return w.submit(j, n, 10*time.Second) }); failure != nil {
-				failure = fmt.Errorf("resend of %s: %w", j.tag, failure)
+			if failure = eventually(2*time.Minute, func() error { return w.submit(j, n, 10*time.Second) }); failure != nil {
+				failure = fmt.Errorf("resend of %s: %w", j.name, failure)
 				return
 			}
 		}
 		for _, j := range jobs {
-			if failure = w.checkEnd(j); failure != nil {
+			if failure = w.checkFinalState(j); failure != nil {
 				return
 			}
 		}
@@ -447,11 +447,11 @@
 // runs twice although it may not. The sequence is drawn: crashes, pauses past the
 // lease, takeover races, lost answers, late copies, outages, resends, cancels and
 // killers in any order.
-func TestLedgerStories(t *testing.T) {
+func TestBatchJobsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := drawSteps(rt, stepKinds, 2, 25)
-		if err := runLedgerStory(t, steps, false); err != nil {
-			rt.Fatalf("%v\n%s", err, storyText(steps))
+		if err := runLedgerScenario(t, steps, false); err != nil {
+			rt.Fatalf("%v\n%s", err, formatSteps(steps))
 		}
 	})
 }
@@ -461,20 +461,20 @@
 // everything old is trimmed while jobs run and results are read; owners are lost
 // in between. Cause guarded against: snapshots and needed records that are not
 // carried forward before retention takes them.
-func TestLedgerOutlivesRetention(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		w := newWorld(worldSettings{
+func TestJobsSurviveLogRetention(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		w := newTestCluster(clusterSettings{
 			entries: 2, agents: 2, partitions: 1, snapshotEvery: 30,
 			log: standin.LogSettings{Retention: 40 * time.Second}, retention: 40 * time.Second,
 		})
 		defer w.close()
-		if err := await(time.Minute, func() error { return w.configure(w.ctx) }); err != nil {
+		if err := eventually(time.Minute, func() error { return w.configureModel(w.ctx) }); err != nil {
 			t.Fatal(err)
 		}
-		var jobs []*worldJob
+		var jobs []*testJob
 		for n := range 12 {
-			j := &worldJob{tag: fmt.Sprintf("kept%d", n), items: 20, poison: -1, killer: -1}
-			if err := await(time.Minute, func() error { return w.submit(j, n, 5*time.Second) }); err != nil {
+			j := &testJob{name: fmt.Sprintf("kept%d", n), items: 20, poisonIndex: -1, crashIndex: -1}
+			if err := eventually(time.Minute, func() error { return w.submit(j, n, 5*time.Second) }); err != nil {
 				t.Fatal(err)
 			}
 			jobs = append(jobs, j)
@@ -486,14 +486,14 @@
 			}
 		}
 		for _, j := range jobs {
-			if err := w.checkEnd(j); err != nil {
+			if err := w.checkFinalState(j); err != nil {
 				t.Fatal(err)
 			}
 		}
 	})
 }
 
-func storyText(steps []step) string {
+func formatSteps(steps []step) string {
 	var b strings.Builder
 	for _, s := range steps {
 		fmt.Fprintf(&b, "  %6s  %s %d %d\n", s.After, s.Kind, s.A, s.B)
@@ -504,26 +504,26 @@
 // Symptom: a caller is told that a job was accepted, and it is gone. Sequence:
 // the append takes effect, its answer is lost, and the owner dies. Cause guarded
 // against: telling before the record was read back.
-func TestRefusalWhileLogIsDown(t *testing.T) {
-	bubble(t, func(t *testing.T) {
-		w := newWorld(worldSettings{entries: 2, agents: 1, partitions: 1, snapshotEvery: 40})
+func TestSubmitFailsWhileLogIsDown(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
+		w := newTestCluster(clusterSettings{entries: 2, agents: 1, partitions: 1, snapshotEvery: 40})
 		defer w.close()
-		if err := await(time.Minute, func() error { return w.configure(w.ctx) }); err != nil {
+		if err := eventually(time.Minute, func() error { return w.configureModel(w.ctx) }); err != nil {
 			t.Fatal(err)
 		}
-		j := &worldJob{tag: "refused", items: 3, poison: -1, killer: -1}
-		if err := await(time.Minute, func() error { return w.submit(j, 0, 3*time.Second) }); err != nil {
+		j := &testJob{name: "refused", items: 3, poisonIndex: -1, crashIndex: -1}
+		if err := eventually(time.Minute, func() error { return w.submit(j, 0, 3*time.Second) }); err != nil {
 			t.Fatal(err)
 		}
 		w.log.SetDown(true)
 		time.Sleep(5 * time.Second)
-		late := &worldJob{tag: "late", items: 3, poison: -1, killer: -1}
+		late := &testJob{name: "late", items: 3, poisonIndex: -1, crashIndex: -1}
 		err := w.submit(late, 0, 3*time.Second)
 		if fail := apierr.From(err); err == nil || fail.Ran != wire.Ran_RAN_NO || fail.Code != apierr.CodeLogDown {
 			t.Fatalf("submit with the log down: %v", err)
 		}
 		w.log.SetDown(false)
-		if err := w.checkEnd(j); err != nil {
+		if err := w.checkFinalState(j); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/entry/online.go
+++ b/entry/online.go
@@ -38,30 +38,30 @@
 // is gone.
 type Sink func(*wire.Piece) error
 
-// run is one online request on its way.
-type run struct {
-	e         *Entry
-	req       *Request
-	sink      Sink
-	delivered uint32   // tokens given to the caller
-	ran       wire.Ran // what is known of all tries so far
-	exclude   map[string]bool
+// dispatch is one online request on its way.
+type dispatch struct {
+	e               *Entry
+	req             *Request
+	sink            Sink
+	deliveredTokens uint32   // tokens given to the caller
+	ran             wire.Ran // what is known of all tries so far
+	excluded        map[string]bool
 }
 
-// maxTries bounds the agents that one request is sent to.
-const maxTries = 4
+// maxAttempts bounds the agents that one request is sent to.
+const maxAttempts = 4
 
 // Do runs a request and gives its answer to sink. Every failure is an
 // apierr.Error that says truly whether the request ran.
 func (e *Entry) Do(ctx context.Context, req *Request, sink Sink) (*wire.End, error) {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
-	r := &run{e: e, req: req, sink: sink, exclude: make(map[string]bool), ran: wire.Ran_RAN_NO}
+	r := &dispatch{e: e, req: req, sink: sink, excluded: make(map[string]bool), ran: wire.Ran_RAN_NO}
 	began := time.Now()
 	end, err := r.start(ctx)
 	e.cfg.Metrics.Observe("online_total", req.Workspace, time.Since(began))
 	if err == nil {
-		e.budget.Success()
+		e.retryBudget.Success()
 		return end, nil
 	}
 	fail := apierr.From(err)
@@ -71,16 +71,16 @@
 	return nil, fail
 }
 
-func (r *run) start(ctx context.Context) (*wire.End, error) {
+func (r *dispatch) start(ctx context.Context) (*wire.End, error) {
 	if r.req.NonIdempotent && r.req.Key != "" {
-		return r.keyed(ctx)
+		return r.runKeyed(ctx)
 	}
-	return r.try(ctx)
+	return r.tryAgents(ctx)
 }
 
-// pick chooses an agent and counts the request there.
-func (r *run) pick() (routing.Choice, bool) {
-	q := routing.Query{Model: r.req.Model, Service: r.req.Service, Exclude: r.exclude}
+// pickAgent chooses an agent and counts the request there.
+func (r *dispatch) pickAgent() (routing.Choice, bool) {
+	q := routing.Query{Model: r.req.Model, Service: r.req.Service, Exclude: r.excluded}
 	if r.req.Service == "" {
 		q.Prefix = routing.PrefixKey(r.req.Model, r.req.Prompt)
 	}
@@ -93,64 +93,64 @@
 	return c, ok
 }
 
-func (r *run) ended(name string, err error) {
-	fault := err != nil && (apierr.Is(err, apierr.CodeEngine) || errors.Is(err, errAgentGone))
+func (r *dispatch) recordEnd(name string, err error) {
+	fault := err != nil && (apierr.Is(err, apierr.CodeEngine) || errors.Is(err, errAgentLost))
 	r.e.mu.Lock()
 	defer r.e.mu.Unlock()
 	r.e.router.Ended(time.Now(), name, fault)
 }
 
-// errAgentGone says that an agent that had the request cannot be asked any more.
-var errAgentGone = errors.New("agent gone")
+// errAgentLost says that an agent that had the request cannot be asked any more.
+var errAgentLost = errors.New("agent gone")
 
-// try sends the request to agents until it is answered or must be given up.
-func (r *run) try(ctx context.Context) (*wire.End, error) {
+// tryAgents sends the request to agents until it is answered or must be given up.
+func (r *dispatch) tryAgents(ctx context.Context) (*wire.End, error) {
 	var last error
-	for n := 0; n < maxTries; n++ {
-		choice, ok := r.pick()
+	for n := 0; n < maxAttempts; n++ {
+		choice, ok := r.pickAgent()
 		if !ok {
 			break
 		}
-		end, err := r.at(ctx, choice)
-		r.ended(choice.Name, err)
+		end, err := r.sendTo(ctx, choice)
+		r.recordEnd(choice.Name, err)
 		if err == nil {
 			return end, nil
 		}
 		last = err
-		r.ran = worse(r.ran, apierr.From(err).Ran)
-		r.exclude[choice.Name] = true
-		if !r.mayTryElsewhere(ctx, err) {
-			return nil, r.final(err)
+		r.ran = mergeRan(r.ran, apierr.From(err).Ran)
+		r.excluded[choice.Name] = true
+		if !r.canRetryElsewhere(ctx, err) {
+			return nil, r.finalError(err)
 		}
 		if n > 0 {
-			jitter(ctx, n)
+			sleepWithJitter(ctx, n)
 		}
 	}
 	if last != nil {
-		return nil, r.final(last)
+		return nil, r.finalError(last)
 	}
-	return nil, r.noTarget()
+	return nil, r.noTargetError()
 }
 
-// noTarget is the truth when no agent could be tried.
-func (r *run) noTarget() error {
-	if r.req.Service == "" && !r.e.knowsModel(r.req.Model) {
+// noTargetError is the truth when no agent could be tried.
+func (r *dispatch) noTargetError() error {
+	if r.req.Service == "" && !r.e.modelExists(r.req.Model) {
 		return apierr.New(apierr.CodeUnknownModel, "no such model: %s", r.req.Model)
 	}
 	return apierr.New(apierr.CodeNoTarget, "no target serves this now").After(time.Second)
 }
 
-// retryBase is the mean pause before the second retry; it doubles.
-const retryBase = 5 * time.Millisecond
+// retryBaseDelay is the mean pause before the second retry; it doubles.
+const retryBaseDelay = 5 * time.Millisecond
 
-// jitter waits a random time, so that retries of many requests do not meet.
-func jitter(ctx context.Context, n int) {
-	limit := retryBase << n
+// sleepWithJitter waits a random time, so that retries of many requests do not meet.
+func sleepWithJitter(ctx context.Context, n int) {
+	limit := retryBaseDelay << n
 	_ = wait.For(ctx, time.Duration(rand.Int64N(int64(limit))))
 }
 
-// mayTryElsewhere says whether a failure lets the request go to another agent.
-func (r *run) mayTryElsewhere(ctx context.Context, err error) bool {
+// canRetryElsewhere says whether a failure lets the request go to another agent.
+func (r *dispatch) canRetryElsewhere(ctx context.Context, err error) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -160,35 +160,35 @@
 		case apierr.CodeLeaving, apierr.CodeWrongIncarnation, apierr.CodeUnknownModel, apierr.CodeNotRun:
 			return true
 		case apierr.CodeOverloaded, apierr.CodeEngine:
-			return r.e.budget.Take()
+			return r.e.retryBudget.Take()
 		}
 		return false
 	}
 	if r.req.NonIdempotent {
 		return false
 	}
-	lost := errors.Is(err, errAgentGone) || fail.Code == apierr.CodeEngine
-	return lost && r.e.budget.Take()
+	lost := errors.Is(err, errAgentLost) || fail.Code == apierr.CodeEngine
+	return lost && r.e.retryBudget.Take()
 }
 
-// final turns the last failure into what the caller gets.
-func (r *run) final(err error) error {
+// finalError turns the last failure into what the caller gets.
+func (r *dispatch) finalError(err error) error {
 	fail := *apierr.From(err)
-	if errors.Is(err, errAgentGone) && fail.Ran != wire.Ran_RAN_NO {
+	if errors.Is(err, errAgentLost) && fail.Ran != wire.Ran_RAN_NO {
 		fail = *apierr.Unknown(apierr.CodeOutcomeUnknown, "the target was lost while it had the request")
 	}
 	// The last target may truly not have run it while an earlier one did. Without
 	// this the caller would be told "not run" after a run whose target was lost.
-	fail.Ran = worse(r.ran, fail.Ran)
+	fail.Ran = mergeRan(r.ran, fail.Ran)
 	if fail.Code == apierr.CodeEngine && fail.Ran == wire.Ran_RAN_UNKNOWN {
 		fail.Code = apierr.CodeOutcomeUnknown
 	}
 	return &fail
 }
 
-// worse joins what is known of two tries: one that ran outweighs one that may
+// mergeRan joins what is known of two tries: one that ran outweighs one that may
 // have run, and that one outweighs one that did not.
-func worse(a, b wire.Ran) wire.Ran {
+func mergeRan(a, b wire.Ran) wire.Ran {
 	switch {
 	case a == wire.Ran_RAN_YES || b == wire.Ran_RAN_YES:
 		return wire.Ran_RAN_YES
@@ -198,8 +198,8 @@
 	return wire.Ran_RAN_NO
 }
 
-// at runs the request at one agent.
-func (r *run) at(ctx context.Context, c routing.Choice) (*wire.End, error) {
+// sendTo runs the request at one agent.
+func (r *dispatch) sendTo(ctx context.Context, c routing.Choice) (*wire.End, error) {
 	n := r.e.agent(c.Name)
 	if n == nil {
 		return nil, apierr.New(apierr.CodeNotRun, "agent is gone")
@@ -217,76 +217,76 @@
 		MaxTokens:        r.req.MaxTokens,
 		TimeoutMs:        time.Until(r.req.Deadline).Milliseconds(),
 		NonIdempotent:    r.req.NonIdempotent,
-		ResumeFrom:       r.delivered,
+		ResumeFrom:       r.deliveredTokens,
 		AgentIncarnation: []byte(c.Incarnation),
 		KeepAnswer:       r.req.Key != "",
 		Weight:           r.req.Weight,
 	}
-	at := &attachment{run: r, node: n, inc: []byte(c.Incarnation), asm: online.NewAssembler(r.req.ID[:]), id: r.req.ID[:]}
-	return at.follow(ctx, &wire.Call{Kind: &wire.Call_Start{Start: start}})
+	at := &answerReader{dispatch: r, node: n, incarnation: []byte(c.Incarnation), assembler: online.NewAssembler(r.req.ID[:]), id: r.req.ID[:]}
+	return at.readToEnd(ctx, &wire.Call{Kind: &wire.Call_Start{Start: start}})
 }
 
-// attachment follows one answer at one agent through lost connections.
-type attachment struct {
-	run  *run
-	node *node
-	id   []byte
-	inc  []byte // incarnation of the agent that the request is meant for
-	asm  *online.Assembler
+// answerReader follows one answer at one agent through lost connections.
+type answerReader struct {
+	dispatch    *dispatch
+	node        *node
+	id          []byte
+	incarnation []byte // incarnation of the agent that the request is meant for
+	assembler   *online.Assembler
 	// shared says that the request belongs to another call of the same caller;
 	// leaving it must not stop it.
 	shared bool
 }
 
-// follow opens the answer with call and reads it to its end.
-func (a *attachment) follow(ctx context.Context, call *wire.Call) (*wire.End, error) {
+// readToEnd opens the answer with call and reads it to its end.
+func (a *answerReader) readToEnd(ctx context.Context, call *wire.Call) (*wire.End, error) {
 	lostAt := time.Time{}
-	patience := a.run.e.cfg.ReattachFor
-	if !a.run.req.NonIdempotent {
-		patience = a.run.e.cfg.ResumeAfter
+	patience := a.dispatch.e.cfg.ReattachTimeout
+	if !a.dispatch.req.NonIdempotent {
+		patience = a.dispatch.e.cfg.ResumeTimeout
 	}
 	for {
-		before := a.asm.Next()
-		err := a.read(ctx, call)
-		if end := a.asm.End(); end != nil {
+		before := a.assembler.Next()
+		err := a.readStream(ctx, call)
+		if end := a.assembler.End(); end != nil {
 			return end, nil
 		}
-		if a.asm.Next() != before {
+		if a.assembler.Next() != before {
 			lostAt = time.Time{}
 		}
 		var fail *apierr.Error
 		if errors.As(err, &fail) {
 			if fail.Code == apierr.CodeUnknownRequest {
-				return nil, a.resolve(ctx)
+				return nil, a.resolveUnknown(ctx)
 			}
 			return nil, fail
 		}
 		if ctx.Err() != nil {
-			return nil, a.giveUp(ctx)
+			return nil, a.abort(ctx)
 		}
 		var unsent *link.DialError
 		if call.GetStart() != nil && errors.As(err, &unsent) {
-			return nil, errors.Mark(apierr.New(apierr.CodeNotRun, "target not reached"), errAgentGone)
+			return nil, errors.Mark(apierr.New(apierr.CodeNotRun, "target not reached"), errAgentLost)
 		}
 		if lostAt.IsZero() {
 			lostAt = time.Now()
 		}
 		if time.Since(lostAt) > patience {
-			return nil, errors.Mark(apierr.Unknown(apierr.CodeOutcomeUnknown, "target not reached"), errAgentGone)
+			return nil, errors.Mark(apierr.Unknown(apierr.CodeOutcomeUnknown, "target not reached"), errAgentLost)
 		}
-		if !lostAt.IsZero() && a.asm.Next() == before {
-			_ = wait.For(ctx, reattachPause)
+		if !lostAt.IsZero() && a.assembler.Next() == before {
+			_ = wait.For(ctx, reattachDelay)
 		}
-		call = &wire.Call{Kind: &wire.Call_Attach{Attach: &wire.Attach{Id: a.id, FromSeq: a.asm.Next()}}}
+		call = &wire.Call{Kind: &wire.Call_Attach{Attach: &wire.Attach{Id: a.id, FromSeq: a.assembler.Next()}}}
 	}
 }
 
-// reattachPause is the wait between two tries to reach an agent.
-const reattachPause = 20 * time.Millisecond
+// reattachDelay is the wait between two tries to reach an agent.
+const reattachDelay = 20 * time.Millisecond
 
-// read opens one stream and takes frames until the answer ends or the stream
+// readStream opens one stream and takes frames until the answer ends or the stream
 // breaks. Failures with a type end the request; others are worth another stream.
-func (a *attachment) read(ctx context.Context, call *wire.Call) error {
+func (a *answerReader) readStream(ctx context.Context, call *wire.Call) error {
 	st, err := a.node.peer.Open(ctx, link.Online, call)
 	if err != nil {
 		return err
@@ -303,30 +303,30 @@
 			// Not part of the answer's sequence.
 			return apierr.FromWire(fail)
 		}
-		pieces, err := a.asm.Take(f)
+		pieces, err := a.assembler.Take(f)
 		if err != nil {
 			return err
 		}
 		for _, p := range pieces {
 			if err := a.deliver(p); err != nil {
-				return a.callerGone()
+				return a.cancelForCaller()
 			}
 		}
-		if fail := a.asm.Failure(); fail != nil {
+		if fail := a.assembler.Failure(); fail != nil {
 			return apierr.FromWire(fail)
 		}
-		if a.asm.End() != nil {
+		if a.assembler.End() != nil {
 			return nil
 		}
 	}
 }
 
-func (a *attachment) deliver(p *wire.Piece) error {
-	a.run.delivered += p.GetTokens()
-	return a.run.sink(p)
+func (a *answerReader) deliver(p *wire.Piece) error {
+	a.dispatch.deliveredTokens += p.GetTokens()
+	return a.dispatch.sink(p)
 }
 
-func (a *attachment) callerGone() error {
+func (a *answerReader) cancelForCaller() error {
 	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
 	ran := a.revoke(ctx)
@@ -338,20 +338,20 @@
 
 // revoke gives the request up at the agent and returns whether it ran. Unknown
 // means that the agent could not be asked.
-func (a *attachment) revoke(ctx context.Context) wire.Ran {
+func (a *answerReader) revoke(ctx context.Context) wire.Ran {
 	if a.shared {
 		return wire.Ran_RAN_UNKNOWN
 	}
 	reply := &wire.Revoked{}
-	call := &wire.Call{Kind: &wire.Call_Revoke{Revoke: &wire.Revoke{Id: a.id, AgentIncarnation: a.inc}}}
+	call := &wire.Call{Kind: &wire.Call_Revoke{Revoke: &wire.Revoke{Id: a.id, AgentIncarnation: a.incarnation}}}
 	if err := a.node.peer.Call(ctx, link.Online, call, reply); err != nil {
 		return wire.Ran_RAN_UNKNOWN
 	}
 	return reply.GetRan()
 }
 
-// giveUp ends a request whose deadline passed or whose caller hung up.
-func (a *attachment) giveUp(ctx context.Context) error {
+// abort ends a request whose deadline passed or whose caller hung up.
+func (a *answerReader) abort(ctx context.Context) error {
 	short, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
 	ran := a.revoke(short)
@@ -361,12 +361,12 @@
 	return &apierr.Error{Code: apierr.CodeCancelled, Message: "the caller hung up", Ran: ran}
 }
 
-// resolve finds the truth about a request that the agent does not know: the
+// resolveUnknown finds the truth about a request that the agent does not know: the
 // start was lost on its way, or the agent was restarted. The revoke leaves a
 // tombstone, so that a late copy of the start cannot run.
-func (a *attachment) resolve(ctx context.Context) error {
-	if a.asm.Next() > 0 {
-		return errors.Mark(apierr.Executed(apierr.CodeOutcomeUnknown, "target lost the answer"), errAgentGone)
+func (a *answerReader) resolveUnknown(ctx context.Context) error {
+	if a.assembler.Next() > 0 {
+		return errors.Mark(apierr.Executed(apierr.CodeOutcomeUnknown, "target lost the answer"), errAgentLost)
 	}
 	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
@@ -374,7 +374,7 @@
 	case wire.Ran_RAN_NO:
 		return apierr.New(apierr.CodeNotRun, "the request did not reach its target")
 	case wire.Ran_RAN_YES:
-		return errors.Mark(apierr.Executed(apierr.CodeOutcomeUnknown, "target lost the answer"), errAgentGone)
+		return errors.Mark(apierr.Executed(apierr.CodeOutcomeUnknown, "target lost the answer"), errAgentLost)
 	}
-	return errors.Mark(apierr.Unknown(apierr.CodeOutcomeUnknown, "target was restarted"), errAgentGone)
+	return errors.Mark(apierr.Unknown(apierr.CodeOutcomeUnknown, "target was restarted"), errAgentLost)
 }
--- a/entry/world_test.go
+++ b/entry/world_test.go
@@ -24,26 +24,26 @@
 	"pumiceford/standin"
 )
 
-// world holds entries and agents in one process on pipes, with faults at the
+// testCluster holds entries and agents in one process on pipes, with faults at the
 // interfaces: connections, the log, the host list and the engines. It is driven
 // in virtual time.
-type world struct {
-	ctx   context.Context
-	end   context.CancelFunc
-	log   *standin.Log
-	hosts *standin.HostList
-	net   *pipeNet
-
-	mu      sync.Mutex
-	entries map[string]*worldEntry
-	agents  map[string]*worldAgent
-	engines map[string]*standin.Engine
-	service *standin.Service
-	set     worldSettings
-	wg      sync.WaitGroup
-}
-
-type worldSettings struct {
+type testCluster struct {
+	ctx    context.Context
+	cancel context.CancelFunc
+	log    *standin.Log
+	hosts  *standin.HostList
+	net    *pipeNet
+
+	mu       sync.Mutex
+	entries  map[string]*testEntry
+	agents   map[string]*testAgent
+	engines  map[string]*standin.Engine
+	service  *standin.Service
+	settings clusterSettings
+	wg       sync.WaitGroup
+}
+
+type clusterSettings struct {
 	entries, agents int
 	partitions      uint32
 	log             standin.LogSettings
@@ -52,45 +52,45 @@
 	retention       time.Duration // as the ledger knows it
 }
 
-type worldEntry struct {
+type testEntry struct {
 	*Entry
-	kill context.CancelFunc
-	host *pipeHost
+	cancel context.CancelFunc
+	host   *pipeHost
 }
 
-type worldAgent struct {
+type testAgent struct {
 	*agent.Agent
-	kill context.CancelFunc
-	host *pipeHost
+	cancel context.CancelFunc
+	host   *pipeHost
 }
 
-const worldModel = "fitting-3b"
+const testModel = "fitting-3b"
 
 // verbose logs what entries do, for looking at one story.
 var verbose = false
 
-func worldLogger() logging.Logger {
+func testLogger() logging.Logger {
 	if !verbose {
 		return logging.Logger{}
 	}
 	return logging.New(logging.Settings{Level: "debug"})
 }
 
-func newWorld(set worldSettings) *world {
+func newTestCluster(set clusterSettings) *testCluster {
 	ctx, end := context.WithCancel(context.Background())
-	w := &world{
-		ctx: ctx, end: end, set: set,
+	w := &testCluster{
+		ctx: ctx, cancel: end, settings: set,
 		log:     standin.NewLog(set.log),
 		hosts:   standin.NewHostList(set.hostLag),
 		net:     &pipeNet{hosts: make(map[string]*pipeHost)},
-		entries: make(map[string]*worldEntry),
-		agents:  make(map[string]*worldAgent),
+		entries: make(map[string]*testEntry),
+		agents:  make(map[string]*testAgent),
 		engines: make(map[string]*standin.Engine),
 		service: &standin.Service{Delay: 20 * time.Millisecond},
 	}
 	for n := range set.agents {
 		name := agentName(n)
-		w.engines[name] = standin.NewEngine(ctx, standin.EngineSettings{Models: []string{worldModel}, StepBase: 5 * time.Millisecond, MaxRunning: 4})
+		w.engines[name] = standin.NewEngine(ctx, standin.EngineSettings{Models: []string{testModel}, StepBase: 5 * time.Millisecond, MaxRunning: 4})
 		w.startAgent(name)
 	}
 	for n := range set.entries {
@@ -102,7 +102,7 @@
 func entryName(n int) string { return fmt.Sprintf("entry-%d", n) }
 func agentName(n int) string { return fmt.Sprintf("agent-%d", n) }
 
-func (w *world) linkConfig(h *pipeHost) link.Config {
+func (w *testCluster) linkConfig(h *pipeHost) link.Config {
 	return link.Config{
 		HeartbeatEvery: 200 * time.Millisecond,
 		SilentAfter:    time.Second,
@@ -110,9 +110,9 @@
 	}
 }
 
-func (w *world) startAgent(name string) {
+func (w *testCluster) startAgent(name string) {
 	ctx, kill := context.WithCancel(w.ctx)
-	host := w.net.up(name)
+	host := w.net.addHost(name)
 	inc := oplog.NewIncarnation()
 	a := agent.New(ctx, agent.Config{
 		Name: name, DataCentre: "caerdydd-a", Incarnation: inc, Engine: w.engines[name],
@@ -122,34 +122,34 @@
 	cfg := w.linkConfig(host)
 	cfg.Node, cfg.Incarnation, cfg.Status, cfg.Handle = name, inc, a.Status, a.Handle
 	w.wg.Go(func() { _ = link.Serve(ctx, host, cfg) })
-	w.agents[name] = &worldAgent{Agent: a, kill: kill, host: host}
+	w.agents[name] = &testAgent{Agent: a, cancel: kill, host: host}
 	w.hosts.Put(infra.Host{Name: name, Role: infra.RoleAgent, Addr: name, DataCentre: "caerdydd-a"})
 }
 
-func (w *world) startEntry(name string) {
+func (w *testCluster) startEntry(name string) {
 	ctx, kill := context.WithCancel(w.ctx)
-	host := w.net.up(name)
+	host := w.net.addHost(name)
 	e := New(Config{
 		Name: name, DataCentre: "caerdydd-a", Incarnation: oplog.NewIncarnation(),
-		Log: &gatedLog{log: w.log, host: host}, HostList: &gatedHosts{list: w.hosts, host: host}, Link: w.linkConfig(host),
-		Bootstrap:  config.Operator{Name: "dev", Scope: config.ScopeFleet},
-		HostsEvery: 200 * time.Millisecond,
-		Logger:     worldLogger(),
+		Log: &pausableLog{log: w.log, host: host}, HostList: &pausableHostList{list: w.hosts, host: host}, Link: w.linkConfig(host),
+		Bootstrap:        config.Operator{Name: "dev", Scope: config.ScopeFleet},
+		HostListInterval: 200 * time.Millisecond,
+		Logger:           testLogger(),
 		Ledger: ledger.Config{
-			Partitions: w.set.partitions, ResultsEvery: 100 * time.Millisecond, SnapshotEvery: w.set.snapshotEvery, Retention: w.set.retention,
+			Partitions: w.settings.partitions, ResultsEvery: 100 * time.Millisecond, SnapshotEvery: w.settings.snapshotEvery, Retention: w.settings.retention,
 			Limits: batch.Limits{MaxAttempts: 4, MaxTargetLoss: 2, BackoffBase: 50 * time.Millisecond, BackoffMax: time.Second},
 		},
 	})
 	w.wg.Go(func() { _ = e.Run(ctx, host) })
 	w.mu.Lock()
-	w.entries[name] = &worldEntry{Entry: e, kill: kill, host: host}
+	w.entries[name] = &testEntry{Entry: e, cancel: kill, host: host}
 	w.mu.Unlock()
 	w.hosts.Put(hostOf(name))
 }
 
 // killEntry loses a host at once: its connections end before its code can say
 // anything, and the list drops it.
-func (w *world) killEntry(name string) {
+func (w *testCluster) killEntry(name string) {
 	w.mu.Lock()
 	e := w.entries[name]
 	delete(w.entries, name)
@@ -157,36 +157,36 @@
 	if e == nil {
 		return
 	}
-	w.net.down(name)
-	e.kill()
+	w.net.removeHost(name)
+	e.cancel()
 	w.hosts.Remove(name)
 }
 
-func (w *world) killAgent(name string) {
+func (w *testCluster) killAgent(name string) {
 	a := w.agents[name]
 	if a == nil {
 		return
 	}
 	delete(w.agents, name)
-	w.net.down(name)
-	a.kill()
+	w.net.removeHost(name)
+	a.cancel()
 }
 
-// some returns a running entry, preferring one.
-func (w *world) some(n int) *worldEntry {
+// runningEntry returns a running entry, preferring one.
+func (w *testCluster) runningEntry(n int) *testEntry {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i := range w.set.entries {
-		if e := w.entries[entryName((n+i)%w.set.entries)]; e != nil && !e.host.isPaused() {
+	for i := range w.settings.entries {
+		if e := w.entries[entryName((n+i)%w.settings.entries)]; e != nil && !e.host.isPaused() {
 			return e
 		}
 	}
 	return nil
 }
 
-func (w *world) close() {
-	w.net.healAll()
-	w.end()
+func (w *testCluster) close() {
+	w.net.resumeAll()
+	w.cancel()
 	w.net.closeAll()
 	w.wg.Wait()
 	// Virtual time stands still once the test function has returned; timers of
@@ -194,35 +194,35 @@
 	time.Sleep(time.Minute)
 }
 
-// gatedLog stops answering while its host is paused, before and after the call,
+// pausableLog stops answering while its host is paused, before and after the call,
 // so that an append may take effect while its caller sleeps.
-type gatedLog struct {
+type pausableLog struct {
 	log  infra.Log
 	host *pipeHost
 }
 
-func (g *gatedLog) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	g.host.gate()
+func (g *pausableLog) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
+	g.host.waitWhilePaused()
 	off, err := g.log.Append(ctx, stream, data)
-	g.host.gate()
+	g.host.waitWhilePaused()
 	return off, err
 }
 
-func (g *gatedLog) Read(ctx context.Context, stream string, from uint64, maxBytes int, wait time.Duration) (infra.Page, error) {
-	g.host.gate()
+func (g *pausableLog) Read(ctx context.Context, stream string, from uint64, maxBytes int, wait time.Duration) (infra.Page, error) {
+	g.host.waitWhilePaused()
 	p, err := g.log.Read(ctx, stream, from, maxBytes, wait)
-	g.host.gate()
+	g.host.waitWhilePaused()
 	return p, err
 }
 
-// gatedHosts does not answer while its host is paused.
-type gatedHosts struct {
+// pausableHostList does not answer while its host is paused.
+type pausableHostList struct {
 	list infra.HostList
 	host *pipeHost
 }
 
-func (g *gatedHosts) Hosts(ctx context.Context) ([]infra.Host, error) {
-	g.host.gate()
+func (g *pausableHostList) Hosts(ctx context.Context) ([]infra.Host, error) {
+	g.host.waitWhilePaused()
 	return g.list.Hosts(ctx)
 }
 
@@ -236,12 +236,12 @@
 type pipeHost struct {
 	name string
 
-	mu     sync.Mutex
-	conns  map[*pipeConn]struct{}
-	accept chan net.Conn
-	closed chan struct{}
-	paused chan struct{} // closed when not paused
-	frozen bool
+	mu      sync.Mutex
+	conns   map[*pipeConn]struct{}
+	accept  chan net.Conn
+	closed  chan struct{}
+	resumed chan struct{} // closed when not paused
+	paused  bool
 }
 
 var errPipeDown = errors.New("host is down")
@@ -249,10 +249,10 @@
 func newPipeHost(name string) *pipeHost {
 	running := make(chan struct{})
 	close(running)
-	return &pipeHost{name: name, conns: make(map[*pipeConn]struct{}), accept: make(chan net.Conn), closed: make(chan struct{}), paused: running}
+	return &pipeHost{name: name, conns: make(map[*pipeConn]struct{}), accept: make(chan net.Conn), closed: make(chan struct{}), resumed: running}
 }
 
-func (n *pipeNet) up(name string) *pipeHost {
+func (n *pipeNet) addHost(name string) *pipeHost {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	h := newPipeHost(name)
@@ -260,27 +260,27 @@
 	return h
 }
 
-func (n *pipeNet) down(name string) {
+func (n *pipeNet) removeHost(name string) {
 	n.mu.Lock()
 	h := n.hosts[name]
 	n.mu.Unlock()
 	if h != nil {
-		n.retire(h)
+		n.detach(h)
 	}
 }
 
-// retire takes a host off the network, unless another of its name took its place.
-func (n *pipeNet) retire(h *pipeHost) {
+// detach takes a host off the network, unless another of its name took its place.
+func (n *pipeNet) detach(h *pipeHost) {
 	n.mu.Lock()
 	if n.hosts[h.name] == h {
 		delete(n.hosts, h.name)
 	}
 	n.mu.Unlock()
 	h.resume()
-	h.shut()
+	h.shutDown()
 }
 
-func (n *pipeNet) healAll() {
+func (n *pipeNet) resumeAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, h := range n.hosts {
@@ -292,13 +292,13 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, h := range n.hosts {
-		h.shut()
+		h.shutDown()
 	}
 }
 
-// silence makes the open connections between two hosts silent for good. New
+// silenceConns makes the open connections between two hosts silent for good. New
 // ones work.
-func (n *pipeNet) silence(a, b string) {
+func (n *pipeNet) silenceConns(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if h := n.hosts[a]; h != nil {
@@ -306,7 +306,7 @@
 		defer h.mu.Unlock()
 		for c := range h.conns {
 			if c.peer == b {
-				c.goSilent()
+				c.silenceBothEnds()
 			}
 		}
 	}
@@ -323,8 +323,8 @@
 	quiet := make(chan struct{})
 	var once sync.Once
 	mute := func() { once.Do(func() { close(quiet) }) }
-	near := &pipeConn{Conn: a, host: from, peer: addr, quiet: quiet, mute: mute, closed: make(chan struct{})}
-	far := &pipeConn{Conn: b, host: to, peer: from.name, quiet: quiet, mute: mute, closed: make(chan struct{})}
+	near := &pipeConn{Conn: a, host: from, peer: addr, silent: quiet, setSilent: mute, closed: make(chan struct{})}
+	far := &pipeConn{Conn: b, host: to, peer: from.name, silent: quiet, setSilent: mute, closed: make(chan struct{})}
 	select {
 	case to.accept <- far:
 	case <-to.closed:
@@ -349,7 +349,7 @@
 	h.conns[c] = struct{}{}
 }
 
-func (h *pipeHost) shut() {
+func (h *pipeHost) shutDown() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	select {
@@ -374,7 +374,7 @@
 
 // Close implements net.Listener.
 func (h *pipeHost) Close() error {
-	h.shut()
+	h.shutDown()
 	return nil
 }
 
@@ -384,31 +384,31 @@
 func (h *pipeHost) pause() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.frozen {
-		h.frozen = true
-		h.paused = make(chan struct{})
+	if !h.paused {
+		h.paused = true
+		h.resumed = make(chan struct{})
 	}
 }
 
 func (h *pipeHost) resume() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.frozen {
-		h.frozen = false
-		close(h.paused)
+	if h.paused {
+		h.paused = false
+		close(h.resumed)
 	}
 }
 
 func (h *pipeHost) isPaused() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.frozen
+	return h.paused
 }
 
-// gate blocks while the host is paused.
-func (h *pipeHost) gate() {
+// waitWhilePaused blocks while the host is paused.
+func (h *pipeHost) waitWhilePaused() {
 	h.mu.Lock()
-	p := h.paused
+	p := h.resumed
 	h.mu.Unlock()
 	<-p
 }
@@ -416,19 +416,19 @@
 // pipeConn is one end of a connection.
 type pipeConn struct {
 	net.Conn
-	host  *pipeHost
-	peer  string
-	quiet chan struct{} // closed when the connection is silent
-	mute  func()
+	host      *pipeHost
+	peer      string
+	silent    chan struct{} // closed when the connection is silent
+	setSilent func()
 
 	once   sync.Once
 	closed chan struct{}
 }
 
-// gate blocks while the host is paused and the connection is open.
-func (c *pipeConn) gate() {
+// waitWhilePaused blocks while the host is paused and the connection is open.
+func (c *pipeConn) waitWhilePaused() {
 	c.host.mu.Lock()
-	p := c.host.paused
+	p := c.host.resumed
 	c.host.mu.Unlock()
 	select {
 	case <-p:
@@ -442,14 +442,14 @@
 	return c.Conn.Close()
 }
 
-func (c *pipeConn) goSilent() { c.mute() }
+func (c *pipeConn) silenceBothEnds() { c.setSilent() }
 
 // Read implements net.Conn.
 func (c *pipeConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.gate()
+	c.waitWhilePaused()
 	select {
-	case <-c.quiet:
+	case <-c.silent:
 		if err == nil {
 			return c.Read(p)
 		}
@@ -460,9 +460,9 @@
 
 // Write implements net.Conn.
 func (c *pipeConn) Write(p []byte) (int, error) {
-	c.gate()
+	c.waitWhilePaused()
 	select {
-	case <-c.quiet:
+	case <-c.silent:
 		return len(p), nil
 	default:
 	}
@@ -473,10 +473,10 @@
 	return infra.Host{Name: name, Role: infra.RoleEntry, Addr: name, DataCentre: "caerdydd-a"}
 }
 
-// bubble runs f in virtual time. yamux keeps timers in a pool of the whole
+// runInBubble runs f in virtual time. yamux keeps timers in a pool of the whole
 // process, and a timer of one bubble must not be used in another: two collections
 // empty the pool. Tests in bubbles therefore never run in parallel.
-func bubble(t *testing.T, f func(*testing.T)) {
+func runInBubble(t *testing.T, f func(*testing.T)) {
 	t.Helper()
 	runtime.GC()
 	runtime.GC()
