--- a/entry/api.go
+++ b/entry/api.go
@@ -22,13 +22,13 @@
 	"pumiceford/wire"
 )
 
-// Bounds of callers' requests.
+// Limits of callers' requests.
 const (
-	MaxCallerBody    = 256 << 20 // a batch file; other bodies are bounded by MaxPromptBytes
-	MaxPromptBytes   = 1 << 20
-	MaxKeyBytes      = 256
-	defaultTimeout   = 60 * time.Second
-	defaultMaxTokens = 64
+	MaxCallerBodyBytes = 256 << 20 // bytes, for a batch file; MaxPromptBytes limits other bodies
+	MaxPromptBytes     = 1 << 20
+	MaxKeyBytes        = 256
+	defaultTimeout     = 60 * time.Second
+	defaultMaxTokens   = 64
 )
 
 // Headers of the callers' interface.
@@ -36,13 +36,13 @@
 	HeaderKey           = "Idempotency-Key"
 	HeaderNonIdempotent = "X-Pumice-Non-Idempotent"
 	HeaderTimeout       = "X-Pumice-Timeout-Ms"
-	HeaderRan           = "X-Pumice-Ran" // "yes", "no" or "unknown", with every error
-	HeaderRequest       = "X-Request-Id"
+	HeaderRan           = "X-Pumice-Ran" // "yes", "no" or "unknown"; set on every error response
+	HeaderRequestID     = "X-Request-Id"
 )
 
 // ServeCallers serves the callers' interface on ln until ctx ends.
 func (e *Entry) ServeCallers(ctx context.Context, ln net.Listener) error {
-	h := httpx.NewServer(ln, MaxCallerBody)
+	h := httpx.NewServer(ln, MaxCallerBodyBytes)
 	h.GET("/healthz", func(_ context.Context, c *app.RequestContext) { c.SetStatusCode(200) })
 	h.GET("/readyz", func(_ context.Context, c *app.RequestContext) {
 		if !e.Ready() {
@@ -59,16 +59,17 @@
 	return httpx.Serve(ctx, h)
 }
 
-// ServeMetrics is the handler of /metrics.
+// serveMetrics returns the handler of /metrics.
 func (e *Entry) serveMetrics() app.HandlerFunc {
 	handler := promhttp.HandlerFor(e.cfg.Metrics.Registry, promhttp.HandlerOpts{})
 	return adaptor.HertzHandler(handler)
 }
 
-// callerHandler handles a request of a known workspace.
+// callerHandler handles a request of an authenticated workspace.
 type callerHandler func(ctx context.Context, c *app.RequestContext, ws config.Workspace) error
 
-// handleCaller checks the bearer key and turns failures into answers.
+// handleCaller wraps fn: it counts the request as in flight, authenticates its
+// bearer key and writes errors as responses.
 func (e *Entry) handleCaller(fn callerHandler) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
 		defer e.beginRequest()()
@@ -108,7 +109,8 @@
 	return ws, nil
 }
 
-// errorBody is the JSON of every failure, in the form of the OpenAI interface.
+// errorBody is the JSON body of every error response, in the format of the OpenAI
+// API.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -172,12 +174,12 @@
 }
 
 func (e *Entry) modelExists(name string) bool {
-	known := false
-	e.follower.View(func(s *config.State) { _, known = s.Model(name) })
-	return known
+	exists := false
+	e.follower.View(func(s *config.State) { _, exists = s.Model(name) })
+	return exists
 }
 
-// completionBody is the body of both kinds of completions.
+// completionBody is the request body of both text and chat completions.
 type completionBody struct {
 	Model               string              `json:"model"`
 	Prompt              string              `json:"prompt"`
@@ -190,7 +192,9 @@
 	} `json:"stream_options"`
 }
 
-// decodeCompletion reads a completion's body and checks it.
+// decodeCompletion parses and validates the body of a completion request, and
+// fills in the default number of tokens. The prompt of a chat is built from its
+// messages.
 func decodeCompletion(body []byte, chat bool) (completionBody, error) {
 	var b completionBody
 	if len(body) > MaxPromptBytes {
@@ -222,7 +226,8 @@
 	return b, nil
 }
 
-// newRequest reads the headers that every online request may carry.
+// newRequest returns a Request with the settings from the headers that every
+// online and batch request may carry.
 func newRequest(c *app.RequestContext, ws config.Workspace) (*Request, error) {
 	timeout := defaultTimeout
 	if v := string(c.GetHeader(HeaderTimeout)); v != "" {
@@ -266,7 +271,7 @@
 	req.Model = body.Model
 	req.Prompt = body.Prompt
 	req.MaxTokens = body.MaxTokens
-	c.Response.Header.Set(HeaderRequest, req.ID.String())
+	c.Response.Header.Set(HeaderRequestID, req.ID.String())
 	out := &completionWriter{c: c, chat: chat, model: req.Model, id: req.ID.String(), includeUsage: body.StreamOptions.IncludeUsage}
 	if !body.Stream {
 		return e.completeBuffered(ctx, req, out)
@@ -274,8 +279,8 @@
 	return e.completeStream(ctx, req, out)
 }
 
-// serveService routes a call to a plain service. POST is not repeated unless the
-// caller marks it as idempotent.
+// serveService routes a request to a plain HTTP service. POST and PATCH requests
+// are not retried unless the caller marks them as idempotent.
 func (e *Entry) serveService(ctx context.Context, c *app.RequestContext, ws config.Workspace) error {
 	if len(c.Request.Body()) > MaxPromptBytes {
 		return apierr.New(apierr.CodeTooLarge, "body is over %d bytes", MaxPromptBytes)
@@ -301,9 +306,9 @@
 	return nil
 }
 
-func serviceNonIdempotent(method, mark string) bool {
-	if mark != "" {
-		return mark != "false"
+func serviceNonIdempotent(method, header string) bool {
+	if header != "" {
+		return header != "false"
 	}
 	return method == "POST" || method == "PATCH"
 }
--- a/entry/api_batch.go
+++ b/entry/api_batch.go
@@ -23,16 +23,16 @@
 
 // Headers of batch requests.
 const (
-	HeaderNewJob = "X-Pumice-New-Job" // "true": the same content is meant as another job
+	HeaderNewJob = "X-Pumice-New-Job" // "true" creates another job even if the content is the same
 )
 
-// Bounds of batch files.
+// Limits of batch files, jobs and their lists.
 const (
 	MaxFileItems       = 51000
 	chunkBytes         = 256 << 10
 	defaultWindow      = 24 * time.Hour
 	maxWindow          = 7 * 24 * time.Hour
-	resultRetention    = 3 * 24 * time.Hour // after the job's end; docs/CAPACITY.md has the cost
+	resultRetention    = 3 * 24 * time.Hour // after the job's end; see docs/CAPACITY.md for the storage cost
 	defaultPageSize    = 20
 	maxPageSize        = 100
 	resultsPageSize    = 1000
@@ -71,6 +71,8 @@
 	Metadata         map[string]string `json:"metadata"`
 }
 
+// decodeSubmit parses and validates the body of a batch submission, and returns
+// it with its completion window.
 func decodeSubmit(data []byte) (submitBody, time.Duration, error) {
 	var b submitBody
 	if err := json.Unmarshal(data, &b); err != nil {
@@ -114,16 +116,17 @@
 	if err != nil {
 		return err
 	}
-	job, at, err := e.submit(ctx, ws, req, body, window, file)
+	job, ref, err := e.submit(ctx, ws, req, body, window, file)
 	if err != nil {
 		return err
 	}
-	httpx.WriteJSON(c, 200, newBatchReply(at, job, body.InputFileID))
+	httpx.WriteJSON(c, 200, newBatchReply(ref, job, body.InputFileID))
 	return nil
 }
 
-// submit accepts a job. A resend with the same key, or of the same content
-// without a key, meets the same partition and so the same job.
+// submit creates a job. A retry with the same key, or of the same content without
+// a key, maps to the same partition and job ID, and so to the job that exists
+// already.
 func (e *Entry) submit(ctx context.Context, ws config.Workspace, req *Request, body submitBody, window time.Duration, file objectRef) (*wire.JobInfo, objectRef, error) {
 	page, err := e.filePage(ctx, file, ws.Name, 0)
 	if err != nil {
@@ -133,19 +136,19 @@
 	if err != nil {
 		return nil, objectRef{}, err
 	}
-	mark := []byte(strconv.FormatBool(req.NonIdempotent))
-	digest := Digest16(file.id, []byte(body.Endpoint), []byte(window.String()), mark)
-	at := objectRef{partition: file.partition, id: Digest16([]byte("job"), []byte(ws.Name), digest)}
+	nonIdempotent := []byte(strconv.FormatBool(req.NonIdempotent))
+	digest := Digest16(file.id, []byte(body.Endpoint), []byte(window.String()), nonIdempotent)
+	ref := objectRef{partition: file.partition, id: Digest16([]byte("job"), []byte(ws.Name), digest)}
 	if req.Key != "" {
-		at.id = Digest16([]byte("keyed job"), []byte(ws.Name), []byte(req.Key))
-		at.partition = e.partitionOf(at.id)
-		if err := e.copyFile(ctx, ws, file, at.partition, page); err != nil {
+		ref.id = Digest16([]byte("keyed job"), []byte(ws.Name), []byte(req.Key))
+		ref.partition = e.partitionOf(ref.id)
+		if err := e.copyFile(ctx, ws, file, ref.partition, page); err != nil {
 			return nil, objectRef{}, err
 		}
 	}
 	now := time.Now()
-	reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_CommitJob{CommitJob: &wire.CommitJob{
-		Job:           at.id,
+	reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: ref.partition, Kind: &wire.PeerRequest_CommitJob{CommitJob: &wire.CommitJob{
+		Job:           ref.id,
 		Workspace:     ws.Name,
 		File:          file.id,
 		Model:         item.Model,
@@ -160,11 +163,12 @@
 	if err != nil {
 		return nil, objectRef{}, err
 	}
-	e.log.Info("job accepted", logging.F("job", prefixBatch+at.String()), logging.F("workspace", ws.Name), logging.F("items", reply.GetJob().GetTotal()))
-	return reply.GetJob(), at, nil
+	e.log.Info("job accepted", logging.F("job", prefixBatch+ref.String()), logging.F("workspace", ws.Name), logging.F("items", reply.GetJob().GetTotal()))
+	return reply.GetJob(), ref, nil
 }
 
-// copyFile puts a file into the partition of a job that its key sends there.
+// copyFile copies a file to the partition of a job whose key selects another
+// partition than the file's content.
 func (e *Entry) copyFile(ctx context.Context, ws config.Workspace, file objectRef, to uint32, page *wire.FilePage) error {
 	if to == file.partition {
 		return nil
@@ -176,9 +180,9 @@
 	return e.putFile(ctx, objectRef{partition: to, id: file.id}, ws.Name, page.GetName(), lines, page.GetBytes())
 }
 
-func (e *Entry) job(ctx context.Context, ws config.Workspace, at objectRef) (*wire.JobInfo, error) {
-	reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_GetJob{GetJob: &wire.GetJob{
-		Workspace: ws.Name, Job: at.id,
+func (e *Entry) job(ctx context.Context, ws config.Workspace, ref objectRef) (*wire.JobInfo, error) {
+	reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: ref.partition, Kind: &wire.PeerRequest_GetJob{GetJob: &wire.GetJob{
+		Workspace: ws.Name, Job: ref.id,
 	}}})
 	return reply.GetJob(), err
 }
@@ -207,20 +211,22 @@
 	Failed    uint32 `json:"failed"`
 }
 
-func newBatchReply(at objectRef, j *wire.JobInfo, inputID string) batchReply {
+// newBatchReply returns the JSON object of a job. If inputID is empty, it is
+// derived from the job.
+func newBatchReply(ref objectRef, j *wire.JobInfo, inputID string) batchReply {
 	if inputID == "" {
 		inputID = prefixFile + objectRef{partition: j.GetPartition(), id: j.GetFile()}.String()
 	}
 	window := time.Duration(j.GetDueUnixMs()-j.GetCreatedUnixMs()) * time.Millisecond
 	out := batchReply{
-		ID:               prefixBatch + at.String(),
+		ID:               prefixBatch + ref.String(),
 		Object:           "batch",
 		Endpoint:         j.GetEndpoint(),
 		InputFileID:      inputID,
 		CompletionWindow: window.String(),
 		Status:           j.GetState(),
-		OutputFileID:     prefixOutput + at.String(),
-		ErrorFileID:      prefixErrors + at.String(),
+		OutputFileID:     prefixOutput + ref.String(),
+		ErrorFileID:      prefixErrors + ref.String(),
 		CreatedAt:        j.GetCreatedUnixMs() / 1000,
 		ExpiresAt:        j.GetDueUnixMs() / 1000,
 		RequestCounts:    requestCounts{Total: j.GetTotal(), Completed: j.GetSucceeded(), Failed: j.GetFailed()},
@@ -237,30 +243,30 @@
 }
 
 func (e *Entry) serveBatch(ctx context.Context, c *app.RequestContext, ws config.Workspace) error {
-	at, err := e.parseObjectRef(prefixBatch, c.Param("id"))
+	ref, err := e.parseObjectRef(prefixBatch, c.Param("id"))
 	if err != nil {
 		return err
 	}
-	job, err := e.job(ctx, ws, at)
+	job, err := e.job(ctx, ws, ref)
 	if err != nil {
 		return err
 	}
-	httpx.WriteJSON(c, 200, newBatchReply(at, job, ""))
+	httpx.WriteJSON(c, 200, newBatchReply(ref, job, ""))
 	return nil
 }
 
 func (e *Entry) serveCancel(ctx context.Context, c *app.RequestContext, ws config.Workspace) error {
-	at, err := e.parseObjectRef(prefixBatch, c.Param("id"))
+	ref, err := e.parseObjectRef(prefixBatch, c.Param("id"))
 	if err != nil {
 		return err
 	}
-	reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_CancelJob{CancelJob: &wire.CancelJob{
-		Workspace: ws.Name, Job: at.id,
+	reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: ref.partition, Kind: &wire.PeerRequest_CancelJob{CancelJob: &wire.CancelJob{
+		Workspace: ws.Name, Job: ref.id,
 	}}})
 	if err != nil {
 		return err
 	}
-	httpx.WriteJSON(c, 200, newBatchReply(at, reply.GetJob(), ""))
+	httpx.WriteJSON(c, 200, newBatchReply(ref, reply.GetJob(), ""))
 	return nil
 }
 
@@ -304,10 +310,12 @@
 	return strings.Compare(a.ID, b.ID)
 }
 
+// newBatchList returns the page of at most limit jobs that follows the job with
+// ID after, or the first page if there is no such job.
 func newBatchList(all []batchReply, after string, limit int) batchList {
 	if after != "" {
-		at := slices.IndexFunc(all, func(b batchReply) bool { return b.ID == after })
-		all = all[at+1:]
+		i := slices.IndexFunc(all, func(b batchReply) bool { return b.ID == after })
+		all = all[i+1:]
 	}
 	list := batchList{Object: "list", Data: all[:min(limit, len(all))], HasMore: len(all) > limit}
 	if list.Data == nil {
--- a/entry/api_completion.go
+++ b/entry/api_completion.go
@@ -14,14 +14,14 @@
 	"pumiceford/wire"
 )
 
-// completionWriter writes answers in the form of the OpenAI interface.
+// completionWriter writes completions in the format of the OpenAI API.
 type completionWriter struct {
 	c            *app.RequestContext
 	chat         bool
 	model        string
 	id           string
 	includeUsage bool
-	sse          *sse.Writer // set once the first byte was streamed
+	sse          *sse.Writer // nil until the first event of a stream is written
 }
 
 type completionReply struct {
@@ -112,8 +112,8 @@
 		return err
 	}
 	if err != nil {
-		// The status line is out. The error event, and no [DONE] after it, tells
-		// the caller that the answer is not whole.
+		// The status line has been sent. An error event without a following [DONE]
+		// tells the caller that the response is incomplete.
 		_, body := newErrorBody(err)
 		_ = w.writeEvent(body)
 		return nil
@@ -144,7 +144,8 @@
 	} else {
 		choice.Text = &empty
 	}
-	// A caller that is gone by now has lost nothing but the end.
+	// Write errors are ignored: a caller that has disconnected by now already got
+	// the whole text.
 	_ = w.writeEvent(w.newReply(true, choice))
 	if w.includeUsage {
 		last := w.newReply(true)
--- a/entry/api_files.go
+++ b/entry/api_files.go
@@ -20,14 +20,15 @@
 	"pumiceford/wire"
 )
 
-// objectRef is where an object lives: its partition and its id there.
+// objectRef locates a stored object by its partition and its ID within the
+// partition.
 type objectRef struct {
 	partition uint32
 	id        []byte
 }
 
-// Prefixes of ids that callers see. Output and error files are named after
-// their batch.
+// Prefixes of the IDs in the callers' interface. The IDs of output and error files
+// contain the ID of their batch.
 const (
 	prefixFile   = "file-"
 	prefixBatch  = "batch_"
@@ -39,23 +40,25 @@
 	return fmt.Sprintf("%04x%s", p.partition, hex.EncodeToString(p.id))
 }
 
+// objectRefHexLen is the length of objectRef.String: 4 digits of the partition
+// and 32 of the ID.
 const objectRefHexLen = 4 + 32
 
-// parseObjectRef reads an id. A malformed one is not found rather than bad: to the
-// caller it is just an id that does not exist.
+// parseObjectRef parses an ID with the given prefix. A malformed ID gives
+// CodeNotFound, because for the caller it is an ID that does not exist.
 func (e *Entry) parseObjectRef(prefix, s string) (objectRef, error) {
-	missing := apierr.New(apierr.CodeNotFound, "no such id")
+	notFound := apierr.New(apierr.CodeNotFound, "no such id")
 	rest, ok := strings.CutPrefix(s, prefix)
 	if !ok || len(rest) != objectRefHexLen {
-		return objectRef{}, missing
+		return objectRef{}, notFound
 	}
 	number, err := strconv.ParseUint(rest[:4], 16, 32)
 	if err != nil || uint32(number) >= e.cfg.Ledger.Partitions {
-		return objectRef{}, missing
+		return objectRef{}, notFound
 	}
 	id, err := hex.DecodeString(rest[4:])
 	if err != nil {
-		return objectRef{}, missing
+		return objectRef{}, notFound
 	}
 	return objectRef{partition: uint32(number), id: id}, nil
 }
@@ -91,15 +94,17 @@
 	if err != nil {
 		return apierr.New(apierr.CodeBadRequest, "file: %v", err)
 	}
-	at, err := e.storeFile(ctx, ws.Name, header.Filename, data)
+	ref, err := e.storeFile(ctx, ws.Name, header.Filename, data)
 	if err != nil {
 		return err
 	}
-	httpx.WriteJSON(c, 200, newFileReply(prefixFile+at.String(), uint64(len(data)), header.Filename, "batch"))
+	httpx.WriteJSON(c, 200, newFileReply(prefixFile+ref.String(), uint64(len(data)), header.Filename, "batch"))
 	return nil
 }
 
-// splitLines checks every line of a batch file. A failure names the line.
+// splitLines validates every line of a batch file and returns the lines that are
+// not empty and their model. An error about a line contains its number, counted
+// from 1.
 func (e *Entry) splitLines(data []byte) ([][]byte, string, error) {
 	var lines [][]byte
 	seen := make(map[string]bool)
@@ -139,21 +144,23 @@
 	return lines, model, nil
 }
 
-// storeFile makes a file durable in the partition that its content names.
+// storeFile stores a batch file durably in the partition that a hash of its
+// workspace and content selects.
 func (e *Entry) storeFile(ctx context.Context, workspace, name string, data []byte) (objectRef, error) {
 	lines, _, err := e.splitLines(data)
 	if err != nil {
 		return objectRef{}, err
 	}
 	id := Digest16([]byte("file"), []byte(workspace), data)
-	at := objectRef{partition: e.partitionOf(id), id: id}
-	if err := e.putFile(ctx, at, workspace, name, lines, uint64(len(data))); err != nil {
+	ref := objectRef{partition: e.partitionOf(id), id: id}
+	if err := e.putFile(ctx, ref, workspace, name, lines, uint64(len(data))); err != nil {
 		return objectRef{}, err
 	}
-	return at, nil
+	return ref, nil
 }
 
-func (e *Entry) putFile(ctx context.Context, at objectRef, workspace, name string, lines [][]byte, size uint64) error {
+// putFile stores lines in chunks of about chunkBytes and seals the file.
+func (e *Entry) putFile(ctx context.Context, ref objectRef, workspace, name string, lines [][]byte, size uint64) error {
 	var number uint32
 	for rest := lines; len(rest) > 0; number++ {
 		n, bytes := 0, 0
@@ -161,23 +168,23 @@
 			bytes += len(rest[n])
 			n++
 		}
-		_, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_PutChunk{PutChunk: &wire.PutChunk{
-			Workspace: workspace, File: at.id, Number: number, Lines: rest[:n],
+		_, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: ref.partition, Kind: &wire.PeerRequest_PutChunk{PutChunk: &wire.PutChunk{
+			Workspace: workspace, File: ref.id, Number: number, Lines: rest[:n],
 		}}})
 		if err != nil {
 			return err
 		}
 		rest = rest[n:]
 	}
-	_, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_SealFile{SealFile: &wire.SealFile{
-		Workspace: workspace, File: at.id, Chunks: number, Lines: uint32(len(lines)), Bytes: size, Name: name,
+	_, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: ref.partition, Kind: &wire.PeerRequest_SealFile{SealFile: &wire.SealFile{
+		Workspace: workspace, File: ref.id, Chunks: number, Lines: uint32(len(lines)), Bytes: size, Name: name,
 	}}})
 	return err
 }
 
-func (e *Entry) filePage(ctx context.Context, at objectRef, workspace string, chunk uint32) (*wire.FilePage, error) {
-	reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_ReadFile{ReadFile: &wire.ReadFile{
-		Workspace: workspace, File: at.id, Chunk: chunk,
+func (e *Entry) filePage(ctx context.Context, ref objectRef, workspace string, chunk uint32) (*wire.FilePage, error) {
+	reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: ref.partition, Kind: &wire.PeerRequest_ReadFile{ReadFile: &wire.ReadFile{
+		Workspace: workspace, File: ref.id, Chunk: chunk,
 	}}})
 	return reply.GetFile(), err
 }
@@ -188,11 +195,11 @@
 		httpx.WriteJSON(c, 200, newFileReply(id, 0, id+".jsonl", "batch_output"))
 		return nil
 	}
-	at, err := e.parseObjectRef(prefixFile, id)
+	ref, err := e.parseObjectRef(prefixFile, id)
 	if err != nil {
 		return err
 	}
-	page, err := e.filePage(ctx, at, ws.Name, 0)
+	page, err := e.filePage(ctx, ref, ws.Name, 0)
 	if err != nil {
 		return err
 	}
@@ -220,21 +227,21 @@
 }
 
 func (e *Entry) inputFile(ctx context.Context, ws config.Workspace, id string) ([]byte, error) {
-	at, err := e.parseObjectRef(prefixFile, id)
+	ref, err := e.parseObjectRef(prefixFile, id)
 	if err != nil {
 		return nil, err
 	}
-	lines, err := e.fileLines(ctx, at, ws.Name)
+	lines, err := e.fileLines(ctx, ref, ws.Name)
 	if err != nil {
 		return nil, err
 	}
 	return append(bytes.Join(lines, []byte("\n")), '\n'), nil
 }
 
-func (e *Entry) fileLines(ctx context.Context, at objectRef, workspace string) ([][]byte, error) {
+func (e *Entry) fileLines(ctx context.Context, ref objectRef, workspace string) ([][]byte, error) {
 	var lines [][]byte
 	for n := uint32(0); ; n++ {
-		page, err := e.filePage(ctx, at, workspace, n)
+		page, err := e.filePage(ctx, ref, workspace, n)
 		if err != nil {
 			return nil, err
 		}
@@ -245,7 +252,7 @@
 	}
 }
 
-// batchLine is one line of an output or error file.
+// batchLine is the JSON of one line of an output or error file.
 type batchLine struct {
 	ID       string         `json:"id"`
 	CustomID string         `json:"custom_id"`
@@ -264,28 +271,29 @@
 	Message string `json:"message"`
 }
 
-// resultsFile writes the succeeded or the other items of a job, in the caller's
-// order. It can be read while the job runs.
+// resultsFile returns an output file, which has the succeeded items of a job, or
+// an error file, which has the others. The items are in the order of the input
+// file. The files can be read while the job runs.
 func (e *Entry) resultsFile(ctx context.Context, ws config.Workspace, prefix, id string) ([]byte, error) {
-	at, err := e.parseObjectRef(prefix, id)
+	ref, err := e.parseObjectRef(prefix, id)
 	if err != nil {
 		return nil, err
 	}
-	job, err := e.job(ctx, ws, at)
+	job, err := e.job(ctx, ws, ref)
 	if err != nil {
 		return nil, err
 	}
 	var out bytes.Buffer
 	for from := uint32(0); ; {
-		reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_ReadResults{ReadResults: &wire.ReadResults{
-			Workspace: ws.Name, Job: at.id, From: from, Limit: resultsPageSize,
+		reply, err := e.CallOwner(ctx, &wire.PeerRequest{Partition: ref.partition, Kind: &wire.PeerRequest_ReadResults{ReadResults: &wire.ReadResults{
+			Workspace: ws.Name, Job: ref.id, From: from, Limit: resultsPageSize,
 		}}})
 		if err != nil {
 			return nil, err
 		}
 		for _, line := range reply.GetResults().GetLines() {
 			if (line.GetState() == "succeeded") == (prefix == prefixOutput) {
-				writeBatchLine(&out, at, job, line)
+				writeBatchLine(&out, ref, job, line)
 			}
 		}
 		if !reply.GetResults().GetMore() {
@@ -295,8 +303,8 @@
 	}
 }
 
-func writeBatchLine(out *bytes.Buffer, at objectRef, job *wire.JobInfo, line *wire.ResultLine) {
-	id := fmt.Sprintf("%s-%d", at, line.GetIndex())
+func writeBatchLine(out *bytes.Buffer, ref objectRef, job *wire.JobInfo, line *wire.ResultLine) {
+	id := fmt.Sprintf("%s-%d", ref, line.GetIndex())
 	l := batchLine{ID: "batch_req_" + id, CustomID: line.GetCustomId()}
 	if line.GetState() == "succeeded" {
 		w := &completionWriter{chat: strings.Contains(job.GetEndpoint(), "chat"), model: job.GetModel(), id: id}
@@ -304,7 +312,7 @@
 	} else {
 		l.Error = &batchError{Code: line.GetState(), Message: line.GetReason()}
 	}
-	// Strings in results are UTF-8 or are replaced by the encoder; it cannot fail.
+	// Marshal cannot fail here: it replaces invalid UTF-8 in strings.
 	data, _ := json.Marshal(l)
 	out.Write(data)
 	out.WriteByte('\n')
--- a/entry/api_operator.go
+++ b/entry/api_operator.go
@@ -13,12 +13,12 @@
 	"pumiceford/httpx"
 )
 
-// maxOperatorBody bounds an operator's request.
-const maxOperatorBody = 1 << 20
+// maxOperatorBodyBytes is the maximum size of an operator's request body in bytes.
+const maxOperatorBodyBytes = 1 << 20
 
 // ServeOperators serves the operators' interface on ln until ctx ends.
 func (e *Entry) ServeOperators(ctx context.Context, ln net.Listener) error {
-	h := httpx.NewServer(ln, maxOperatorBody)
+	h := httpx.NewServer(ln, maxOperatorBodyBytes)
 	h.GET("/metrics", e.serveMetrics())
 	h.POST("/plans", e.handleOperator(e.servePropose))
 	h.GET("/plans/:id", e.handleOperator(e.servePlan))
@@ -29,9 +29,11 @@
 	return httpx.Serve(ctx, h)
 }
 
+// operatorHandler handles a request of an authenticated operator.
 type operatorHandler func(ctx context.Context, c *app.RequestContext, op config.Operator) error
 
-// handleOperator checks the operator's key and turns failures into answers.
+// handleOperator wraps fn: it authenticates the operator's key and writes errors
+// as responses.
 func (e *Entry) handleOperator(fn operatorHandler) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
 		hash := HashKey(bearerKey(c))
@@ -48,17 +50,17 @@
 	}
 }
 
-// ProposeBody states intents.
+// ProposeBody is the body of a request that proposes a plan.
 type ProposeBody struct {
 	Why     string          `json:"why"`
 	Intents []config.Intent `json:"intents"`
 }
 
-// PlanReply is a plan with what it would do.
+// PlanReply is a plan with its effects and its progress.
 type PlanReply struct {
 	config.PlanView
 	Effects []string `json:"effects,omitempty"`
-	// Laggards are the nodes that have not reported the deciding offset.
+	// Laggards are the nodes that have not yet applied an accepted plan.
 	Laggards []string `json:"laggards,omitempty"`
 	InForce  bool     `json:"in_force"`
 }
@@ -93,7 +95,8 @@
 	return nil
 }
 
-// planReply adds whether an accepted plan is in force everywhere.
+// planReply returns v with, for an accepted plan, the nodes that have not applied
+// it.
 func (e *Entry) planReply(ctx context.Context, v config.PlanView) PlanReply {
 	r := PlanReply{PlanView: v}
 	if v.Status == config.Accepted {
@@ -103,7 +106,8 @@
 	return r
 }
 
-// ConfirmBody names the digest that the operator saw.
+// ConfirmBody is the body of a request that confirms a plan. Digest is the digest
+// of the plan that the operator has seen.
 type ConfirmBody struct {
 	Digest string `json:"digest"`
 }
@@ -128,7 +132,7 @@
 	return nil
 }
 
-// effects says in plain words what intents do where.
+// effects describes to an operator what the intents change.
 func (e *Entry) effects(intents []config.Intent) []string {
 	var out []string
 	agents := len(e.agentStatuses())
@@ -149,7 +153,7 @@
 	return out
 }
 
-// StatusReply is the state of the fleet as one entry sees it.
+// StatusReply is the state of the fleet as known to one entry.
 type StatusReply struct {
 	Node       string        `json:"node"`
 	Ready      bool          `json:"ready"`
@@ -160,7 +164,7 @@
 	Partitions []Partition   `json:"partitions"`
 }
 
-// AgentStatus is one agent.
+// AgentStatus is the last status that an agent reported.
 type AgentStatus struct {
 	Name       string   `json:"name"`
 	DataCentre string   `json:"data_centre"`
@@ -172,7 +176,7 @@
 	Config     uint64   `json:"config_offset"`
 }
 
-// Partition is one partition and who is proposed to own it.
+// Partition is a batch partition with the entry that is proposed as its owner.
 type Partition struct {
 	Number uint32 `json:"number"`
 	Owner  string `json:"owner"`
@@ -204,8 +208,8 @@
 }
 
 func (e *Entry) serveHistory(_ context.Context, c *app.RequestContext, _ config.Operator) error {
-	const most = 100
-	list := e.follower.History(most)
+	const maxPlans = 100
+	list := e.follower.History(maxPlans)
 	if list == nil {
 		list = []config.PlanView{}
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the process on an entry host: it takes callers' requests,
-// routes online requests to agents, runs its part of the batch partitions, and
-// serves operators.
+// Package entry implements the process on an entry host. It accepts callers'
+// requests, routes online requests to agents, owns a part of the batch partitions
+// and serves the operators' interface.
 package entry
 
 import (
@@ -27,34 +27,35 @@
 	"pumiceford/wire"
 )
 
-// Config says what an entry is made of.
+// Config holds the dependencies and settings of an entry.
 type Config struct {
 	Name        string
 	DataCentre  string
 	Incarnation oplog.Incarnation
 	Log         infra.Log
 	HostList    infra.HostList
-	Link        link.Config // Dial, TLS and timings; the rest is set here
+	Link        link.Config // Dial, TLS and timings; New sets the other fields
 	Ledger      ledger.Config
 	Routing     routing.Settings
 	Bootstrap   config.Operator
 
-	// HostListInterval is the interval at which the host list is read, default 2 s.
+	// HostListInterval is the time between reads of the host list, default 2 s.
 	HostListInterval time.Duration
-	// ReattachTimeout is how long an entry tries to reach an agent that holds a
-	// non-idempotent request, default 3 s.
+	// ReattachTimeout is how long the entry tries to reconnect to an agent that
+	// holds a non-idempotent request, default 3 s.
 	ReattachTimeout time.Duration
-	// ResumeTimeout is the same for an idempotent request, which may go on at
+	// ResumeTimeout is the same for an idempotent request, which can continue at
 	// another agent, default 500 ms.
 	ResumeTimeout time.Duration
-	// MaxAgents bounds the agents that one entry talks to, default 64.
+	// MaxAgents is the maximum number of agents that the entry connects to,
+	// default 64.
 	MaxAgents int
 
 	Logger  logging.Logger
 	Metrics *metrics.Set
 }
 
-// Defaults of Config.
+// Default values of Config fields.
 const (
 	defaultHostListInterval = 2 * time.Second
 	defaultReattachTimeout  = 3 * time.Second
@@ -62,8 +63,8 @@
 	defaultMaxAgents        = 64
 )
 
-// Entry is one entry. Lock order: Entry.mu is taken last and nothing else is
-// taken under it.
+// Entry is the server that runs on an entry host. Lock order: Entry.mu is acquired
+// last, and no other lock is acquired while it is held.
 type Entry struct {
 	cfg         Config
 	log         logging.Logger
@@ -79,13 +80,13 @@
 	limits         map[string]*limiter
 	leaving        bool
 	inFlight       int
-	offsets        map[string]uint64 // node -> config offset it reported
-	hosts          []infra.Host      // the last host list
-	servingEntries int               // live entries, this one included
-	agentLeaving   map[string]bool   // agents that say so themselves
+	offsets        map[string]uint64 // last reported config offset by node name
+	hosts          []infra.Host      // last host list read
+	servingEntries int               // entries that are not leaving, including this one; at least 1
+	agentLeaving   map[string]bool   // whether each agent reports that it is leaving
 }
 
-// node is another process that this entry talks to.
+// node is another process, an agent or an entry, that this entry connects to.
 type node struct {
 	host   infra.Host
 	peer   *link.Peer
@@ -93,12 +94,13 @@
 	ctx    context.Context
 }
 
+// limiter is this entry's share of one workspace's rate limit.
 type limiter struct {
 	perSecond float64
 	bucket    *rate.Limiter
 }
 
-// New returns an Entry. Run starts it.
+// New returns an Entry with cfg and its defaults. The caller starts it with Run.
 func New(cfg Config) *Entry {
 	defaults.Set(&cfg.HostListInterval, defaultHostListInterval)
 	defaults.Set(&cfg.ReattachTimeout, defaultReattachTimeout)
@@ -137,7 +139,8 @@
 	return e
 }
 
-// Run serves peers on ln and keeps the entry's state until ctx ends.
+// Run serves connections of peers on ln and runs the entry's background work until
+// ctx ends.
 func (e *Entry) Run(ctx context.Context, ln net.Listener) error {
 	go e.follower.Run(ctx)
 	go e.pollHosts(ctx)
@@ -146,7 +149,7 @@
 	return link.Serve(ctx, ln, e.cfg.Link)
 }
 
-// Ready reports whether the entry should get requests from the balancer.
+// Ready reports whether the load balancer should send requests to the entry.
 func (e *Entry) Ready() bool {
 	if !e.follower.Synced() {
 		return false
@@ -156,23 +159,24 @@
 	return !e.leaving
 }
 
-// Leave stops new requests, waits until those in progress have finished, hands
-// its partitions over, and returns how many requests the end of ctx cut off.
-// balancer is the time in which the balancer sees that the entry is not ready
-// any more; until it has passed requests are still taken.
-func (e *Entry) Leave(ctx context.Context, balancer time.Duration) int {
+// Leave drains the entry: it reports not ready, waits until the requests in
+// flight have finished and hands its partitions over. It returns the number of
+// requests still in flight when ctx ended. balancerDelay is the time until the
+// load balancer stops sending requests to an entry that is not ready; during it
+// the entry still accepts requests.
+func (e *Entry) Leave(ctx context.Context, balancerDelay time.Duration) int {
 	e.mu.Lock()
 	e.leaving = true
 	e.mu.Unlock()
-	_ = wait.For(ctx, balancer)
+	_ = wait.For(ctx, balancerDelay)
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for e.inFlightRequests() > 0 && ctx.Err() == nil {
 		<-tick.C
 	}
-	cut := e.inFlightRequests()
+	unfinished := e.inFlightRequests()
 	e.manager.Leave(ctx)
-	return cut
+	return unfinished
 }
 
 func (e *Entry) inFlightRequests() int {
@@ -181,7 +185,7 @@
 	return e.inFlight
 }
 
-// beginRequest counts a request in progress. The returned function ends it.
+// beginRequest counts a request as in flight. The returned function ends it.
 func (e *Entry) beginRequest() func() {
 	e.mu.Lock()
 	e.inFlight++
@@ -203,8 +207,8 @@
 	return max(share, minShare)
 }
 
-// minShare is the weight of a workspace without a share. It gets what the
-// others leave.
+// minShare is the weight of a workspace without a share. Such a workspace gets
+// only the capacity that the others do not use.
 const minShare = 0.001
 
 func (e *Entry) status() *wire.NodeStatus {
@@ -220,7 +224,8 @@
 	}
 }
 
-// agentByAddr returns the name of the agent at an address. Entry.mu must be held.
+// agentByAddr returns the name of the agent at addr, or "" if there is none.
+// Entry.mu must be held.
 func (e *Entry) agentByAddr(addr string) string {
 	for name, n := range e.agents {
 		if n.host.Addr == addr {
@@ -230,14 +235,15 @@
 	return ""
 }
 
-// handlePeerLost takes an agent out of routing that cannot be reached.
+// handlePeerLost removes the unreachable agent at addr from routing.
 func (e *Entry) handlePeerLost(addr string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.router.Lost(e.agentByAddr(addr))
 }
 
-// handlePeerStatus takes what a peer said of itself on a heartbeat.
+// handlePeerStatus records the status that a peer reported in a heartbeat. A nil
+// status only marks the agent as alive.
 func (e *Entry) handlePeerStatus(addr string, st *wire.NodeStatus) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -262,45 +268,49 @@
 	})
 }
 
-// handleCall serves streams that other nodes open to this entry.
+// handleCall serves a stream that another node opened to this entry.
 func (e *Entry) handleCall(ctx context.Context, _ link.Class, call *wire.Call, st *link.Stream) {
 	switch k := call.GetKind().(type) {
 	case *wire.Call_ConfigFetch:
-		// A reader that is gone asks again.
+		// Errors are ignored: a node that did not get the records calls again.
 		_ = st.Send(e.follower.Records(k.ConfigFetch.GetFrom()))
 	case *wire.Call_Peer:
 		_ = st.Send(e.servePeer(ctx, k.Peer))
 	}
 }
 
-// allowRequest takes one request of a workspace's rate limit. The limit is shared
-// evenly among the live entries, because the balancer spreads requests evenly.
+// allowRequest reports whether the rate limit of a workspace admits one more
+// request, and counts it. Each serving entry applies an equal share of the limit,
+// because the load balancer spreads requests evenly.
 func (e *Entry) allowRequest(ws config.Workspace) bool {
 	if ws.Limit <= 0 {
 		return true
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	mine := ws.Limit / float64(max(e.servingEntries, 1))
+	perSecond := ws.Limit / float64(max(e.servingEntries, 1))
 	l := e.limits[ws.Name]
-	if l == nil || l.perSecond != mine {
-		l = &limiter{perSecond: mine, bucket: rate.NewLimiter(rate.Limit(mine), int(mine)+1)}
+	if l == nil || l.perSecond != perSecond {
+		l = &limiter{perSecond: perSecond, bucket: rate.NewLimiter(rate.Limit(perSecond), int(perSecond)+1)}
 		e.limits[ws.Name] = l
 	}
 	return l.bucket.Allow()
 }
 
-// HashKey returns the form in which keys are kept in the configuration.
+// HashKey returns the hex SHA-256 of a key. The configuration stores keys only in
+// this form.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// maxSnapshotLagRecords is how many config records a snapshot may lie behind.
+// maxSnapshotLagRecords is the number of config records after the last snapshot
+// that triggers the next one.
 const maxSnapshotLagRecords = 500
 
-// writeConfigSnapshots writes snapshots of the configuration now and then. The
-// entry that is proposed for partition 0 does it, so that few write the same.
+// writeConfigSnapshots writes a snapshot of the configuration whenever enough
+// records have been added. Only the proposed owner of partition 0 does so, which
+// avoids that every entry writes the same snapshot.
 func (e *Entry) writeConfigSnapshots(ctx context.Context) {
 	var written uint64
 	tick := time.NewTicker(5 * time.Second)
--- a/entry/events.go
+++ b/entry/events.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Event is one act of the system with its reason.
+// Event is one action on the system with its reason.
 type Event struct {
 	Time    time.Time `json:"time"`
 	Kind    string    `json:"kind"`
@@ -13,10 +13,11 @@
 	Reason  string    `json:"reason"`
 }
 
-// maxEvents bounds the events kept in memory.
+// maxEvents is the number of events kept in memory.
 const maxEvents = 1000
 
-// eventLog keeps the newest events.
+// eventLog keeps the newest maxEvents events. Its methods are safe for concurrent
+// use.
 type eventLog struct {
 	mu     sync.Mutex
 	events []Event
@@ -35,7 +36,8 @@
 	}
 }
 
-// forSubject returns the kept events of a subject, or of all when it is empty.
+// forSubject returns the stored events of a subject, or all of them if subject is
+// empty.
 func (l *eventLog) forSubject(subject string) []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -9,12 +9,13 @@
 	"pumiceford/wire"
 )
 
-// checkTyped fails a fuzz run whose error has no type or claims that something ran.
+// checkTyped fails the fuzz run if err is not an *apierr.Error or does not say
+// "not run".
 func checkTyped(t *testing.T, err error) {
 	t.Helper()
 	var fail *apierr.Error
 	if err != nil && (!errors.As(err, &fail) || fail.Ran != wire.Ran_RAN_NO) {
-		t.Fatalf("untyped failure %v", err)
+		t.Fatalf("want a typed error that says not run, got: %v", err)
 	}
 }
 
@@ -26,7 +27,7 @@
 		b, err := decodeCompletion(data, chat)
 		checkTyped(t, err)
 		if err == nil && (b.Model == "" || b.Prompt == "" || b.MaxTokens == 0) {
-			t.Fatalf("accepted %+v", b)
+			t.Fatalf("accepted incomplete body %+v", b)
 		}
 	})
 }
@@ -39,7 +40,7 @@
 		_, window, err := decodeSubmit(data)
 		checkTyped(t, err)
 		if err == nil && (window <= 0 || window > maxWindow) {
-			t.Fatalf("accepted window %s", window)
+			t.Fatalf("accepted completion window %s", window)
 		}
 	})
 }
@@ -53,7 +54,7 @@
 		p, err := e.parseObjectRef(prefixBatch, s)
 		checkTyped(t, err)
 		if err == nil && (p.partition >= 8 || len(p.id) != 16) {
-			t.Fatalf("accepted %+v", p)
+			t.Fatalf("accepted invalid ID %+v", p)
 		}
 	})
 }
--- a/entry/history_test.go
+++ b/entry/history_test.go
@@ -16,29 +16,29 @@
 	"pumiceford/wire"
 )
 
-// jobInput is one call about a job.
+// jobInput is one call on a job.
 type jobInput struct {
 	kind string // "submit", "read" or "cancel"
 }
 
-// jobOutput is what its caller was told.
+// jobOutput is the response to the caller.
 type jobOutput struct {
-	known    bool // false when the outcome is not known
+	known    bool // false if the outcome is unknown
 	notFound bool // no such job
 	state    string
 	done     uint32
 }
 
-// jobModel is the state that callers may rely on. Items complete by themselves,
-// so the number of done items may have grown since the last call.
+// jobModel is the state of a job that callers may rely on. Items complete on
+// their own, so the number of done items may have grown since the last call.
 type jobModel struct {
 	exists     bool
 	finalState string // empty while the job runs
 	done       uint32
 }
 
-// stepJob returns the states that a call may lead to, none when what its caller
-// was told is impossible.
+// stepJob returns the possible states after a call, and none if the response is
+// impossible.
 func stepJob(state, input, output any) []any {
 	s, in, out := state.(jobModel), input.(jobInput), output.(jobOutput)
 	if !out.known {
@@ -67,13 +67,15 @@
 	return []any{s}
 }
 
+// stepUnknownOutcome returns the possible states after a call whose outcome is
+// unknown.
 func stepUnknownOutcome(s jobModel, in jobInput) []any {
 	switch {
 	case in.kind == "submit" && !s.exists:
 		return []any{s, jobModel{exists: true}}
 	case in.kind == "cancel" && s.exists && s.finalState == "":
-		// It may have been cancelled with any number of items done; the next
-		// call tells which. A model that is still open allows for that.
+		// The job may have been cancelled with any number of items done, which the
+		// next call reveals. The state of a running job covers that case.
 		return []any{s}
 	}
 	return []any{s}
@@ -88,7 +90,7 @@
 	return nd.ToModel()
 }
 
-// history gathers operations of concurrent callers.
+// history records the operations of concurrent callers.
 type history struct {
 	mu    sync.Mutex
 	clock int64
@@ -103,37 +105,37 @@
 }
 
 func (h *history) run(client int, in jobInput, call func() jobOutput) {
-	began := h.now()
+	calledAt := h.now()
 	out := call()
-	ended := h.now()
+	returnedAt := h.now()
 	if !out.known {
-		ended = math.MaxInt64
+		returnedAt = math.MaxInt64
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Call: began, Output: out, Return: ended})
+	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Call: calledAt, Output: out, Return: returnedAt})
 }
 
-func (w *testCluster) callJob(j *testJob, at objectRef, kind string, through int) jobOutput {
-	e := w.runningEntry(through)
+func (tc *testCluster) callJob(j *testJob, ref objectRef, kind string, via int) jobOutput {
+	e := tc.runningEntry(via)
 	if e == nil {
 		return jobOutput{}
 	}
-	ctx, cancel := context.WithTimeout(w.ctx, 3*time.Second)
+	ctx, cancel := context.WithTimeout(tc.ctx, 3*time.Second)
 	defer cancel()
 	var info *wire.JobInfo
 	var err error
 	switch kind {
 	case "submit":
 		copied := testJob{name: j.name, items: j.items, poisonIndex: -1, crashIndex: -1}
-		if err = w.submit(&copied, through, 3*time.Second); err == nil {
+		if err = tc.submit(&copied, via, 3*time.Second); err == nil {
 			info, err = e.job(ctx, testWorkspace, copied.ref)
 		}
 	case "read":
-		info, err = e.job(ctx, testWorkspace, at)
+		info, err = e.job(ctx, testWorkspace, ref)
 	case "cancel":
 		var reply *wire.PeerReply
-		reply, err = e.CallOwner(ctx, &wire.PeerRequest{Partition: at.partition, Kind: &wire.PeerRequest_CancelJob{CancelJob: &wire.CancelJob{Workspace: testWorkspace.Name, Job: at.id}}})
+		reply, err = e.CallOwner(ctx, &wire.PeerRequest{Partition: ref.partition, Kind: &wire.PeerRequest_CancelJob{CancelJob: &wire.CancelJob{Workspace: testWorkspace.Name, Job: ref.id}}})
 		info = reply.GetJob()
 	}
 	if apierr.Is(err, apierr.CodeNotFound) && kind != "submit" {
@@ -145,21 +147,22 @@
 	return jobOutput{known: true, state: info.GetState(), done: info.GetSucceeded() + info.GetFailed()}
 }
 
-// jobRefOf is where a job without a key ends up, known before it is sent.
-func (w *testCluster) jobRefOf(j *testJob) objectRef {
-	e := w.runningEntry(0)
+// jobRefOf returns the reference that a job without a key will get, before it is
+// sent.
+func (tc *testCluster) jobRefOf(j *testJob) objectRef {
+	e := tc.runningEntry(0)
 	file := Digest16([]byte("file"), []byte(testWorkspace.Name), j.file())
 	digest := Digest16(file, []byte("/v1/completions"), []byte(defaultWindow.String()), []byte("false"))
 	return objectRef{partition: e.partitionOf(file), id: Digest16([]byte("job"), []byte(testWorkspace.Name), digest)}
 }
 
-var historyStepKinds = []string{"freeze entry", "resume entry", "kill entry", "restart entry", "lose answers", "drop appends", "silence", "crash engine"}
+var historyStepKinds = []string{"pause and delist entry", "resume entry", "kill entry", "restart entry", "lose answers", "drop appends", "silence", "crash engine"}
 
-// Symptom: a caller sees a job that comes and goes, counts that shrink, or items
-// that complete after a cancel. Sequence: callers submit, read and cancel one job
-// through both entries at once while hosts and the log fail. Cause guarded
-// against: answers that are not what the log says, such as an owner's that was
-// superseded without knowing.
+// Callers submit, read and cancel one job through both entries concurrently while
+// hosts and the log fail. Guards against responses that disagree with the log,
+// such as those of an owner that has been superseded without noticing: a job that
+// appears and disappears, counts that decrease, or items that complete after a
+// cancel.
 func TestJobHistoriesAreLinearizable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := drawSteps(rt, historyStepKinds, 1, 10)
@@ -173,21 +176,21 @@
 func runHistoryScenario(t *testing.T, steps []step, kinds []string) error {
 	var failure error
 	runInBubble(t, func(*testing.T) {
-		w := newTestCluster(clusterSettings{entries: 2, agents: 2, partitions: 2, snapshotEvery: 40, hostLag: 300 * time.Millisecond})
-		defer w.close()
-		if failure = eventually(time.Minute, func() error { return w.configureModel(w.ctx) }); failure != nil {
+		tc := newTestCluster(clusterSettings{entries: 2, agents: 2, partitions: 2, snapshotEvery: 40, hostLag: 300 * time.Millisecond})
+		defer tc.close()
+		if failure = eventually(time.Minute, func() error { return tc.configureModel(tc.ctx) }); failure != nil {
 			return
 		}
 		time.Sleep(2 * time.Second)
 		j := &testJob{name: "history", items: 30, poisonIndex: -1, crashIndex: -1}
-		at := w.jobRefOf(j)
+		ref := tc.jobRefOf(j)
 		h := &history{}
 		var wg sync.WaitGroup
 		const clients = 3
 		for c := range clients {
 			wg.Go(func() {
 				for n := c; n < len(kinds); n += clients {
-					h.run(c, jobInput{kind: kinds[n]}, func() jobOutput { return w.callJob(j, at, kinds[n], c) })
+					h.run(c, jobInput{kind: kinds[n]}, func() jobOutput { return tc.callJob(j, ref, kinds[n], c) })
 					time.Sleep(100 * time.Millisecond)
 				}
 			})
@@ -195,9 +198,9 @@
 		for _, s := range steps {
 			time.Sleep(s.After)
 			var none []*testJob
-			w.applyStep(s, &none)
+			tc.applyStep(s, &none)
 		}
-		w.clearFaults()
+		tc.clearFaults()
 		wg.Wait()
 		if !porcupine.CheckOperations(jobHistoryModel(), h.ops) {
 			failure = fmt.Errorf("history is not linearizable: %+v", h.ops)
@@ -206,27 +209,27 @@
 	return failure
 }
 
-// Symptom: a caller who was told "cancelled" reads "in_progress" afterwards.
-// Sequence: the owner is paused, the other entry takes over and cancels, the
-// first one resumes and is asked at once. Cause guarded against: answers from
-// memory of an owner that has not read the log since its pause.
+// Guards against an owner that answers from memory without having read the log
+// since it was paused. The owner is paused, the other entry takes over and
+// cancels the job, and the first owner resumes and is read at once. A caller that
+// was told "cancelled" would then read "in_progress".
 func TestResumedOwnerServesNoStaleState(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		w := newTestCluster(clusterSettings{entries: 2, agents: 1, partitions: 2, snapshotEvery: 100})
-		defer w.close()
-		if err := eventually(time.Minute, func() error { return w.configureModel(w.ctx) }); err != nil {
+		tc := newTestCluster(clusterSettings{entries: 2, agents: 1, partitions: 2, snapshotEvery: 100})
+		defer tc.close()
+		if err := eventually(time.Minute, func() error { return tc.configureModel(tc.ctx) }); err != nil {
 			t.Fatal(err)
 		}
 		j := &testJob{name: "resumed", items: 3000, poisonIndex: -1, crashIndex: -1}
-		if err := eventually(time.Minute, func() error { return w.submit(j, 0, 10*time.Second) }); err != nil {
+		if err := eventually(time.Minute, func() error { return tc.submit(j, 0, 10*time.Second) }); err != nil {
 			t.Fatal(err)
 		}
-		name := w.runningEntry(0).manager.Proposed(j.ref.partition)
-		owner := w.entries[name]
+		name := tc.runningEntry(0).manager.Proposed(j.ref.partition)
+		owner := tc.entries[name]
 		owner.host.pause()
-		w.hosts.Remove(name)
+		tc.hosts.Remove(name)
 		if err := eventually(time.Minute, func() error {
-			w.cancelJob(j, 0, 5*time.Second)
+			tc.cancelJob(j, 0, 5*time.Second)
 			if !j.cancelled {
 				return errPipeDown
 			}
@@ -236,11 +239,11 @@
 		}
 		owner.host.resume()
 		for range 50 {
-			ctx, cancel := context.WithTimeout(w.ctx, 200*time.Millisecond)
+			ctx, cancel := context.WithTimeout(tc.ctx, 200*time.Millisecond)
 			info, err := owner.job(ctx, testWorkspace, j.ref)
 			cancel()
 			if err == nil && info.GetState() != "cancelled" {
-				t.Fatalf("after the cancel the resumed owner says %s", info.GetState())
+				t.Fatalf("state at the resumed owner after the cancel: got %s, want cancelled", info.GetState())
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/entry/hosts.go
+++ b/entry/hosts.go
@@ -15,8 +15,9 @@
 	"pumiceford/wire"
 )
 
-// pollHosts keeps the nodes in step with the platform's host list and the
-// drains that operators put in force. While the list is down the last one stands.
+// pollHosts updates the nodes from the platform's host list and from the hosts
+// that operators have drained. If the list cannot be read, the last one read
+// stays in effect.
 func (e *Entry) pollHosts(ctx context.Context) {
 	var last []infra.Host
 	for ctx.Err() == nil {
@@ -36,9 +37,10 @@
 	}
 }
 
-// setHosts adds and drops nodes.
+// setHosts applies a host list: it adds and removes nodes and tells the ledger
+// which entries are alive.
 func (e *Entry) setHosts(ctx context.Context, hosts []infra.Host) {
-	var alive, staying []string
+	var alive, serving []string
 	agents := make(map[string]infra.Host)
 	entries := make(map[string]infra.Host)
 	for _, h := range hosts {
@@ -50,18 +52,18 @@
 		case infra.RoleEntry:
 			alive = append(alive, h.Name)
 			if !leaving {
-				staying = append(staying, h.Name)
+				serving = append(serving, h.Name)
 			}
 			if h.Name != e.cfg.Name {
 				entries[h.Name] = h
 			}
 		}
 	}
-	e.manager.SetEntries(alive, staying)
+	e.manager.SetEntries(alive, serving)
 	agents = e.agentSubset(agents)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.servingEntries = max(len(staying), 1)
+	e.servingEntries = max(len(serving), 1)
 	e.hosts = hosts
 	e.reconcileNodes(ctx, e.agents, agents, true)
 	e.reconcileNodes(ctx, e.entries, entries, false)
@@ -76,8 +78,9 @@
 	return drained
 }
 
-// agentSubset keeps the agents that rendezvous hashing gives to this entry, so that
-// connections and reports stay flat as the fleet grows.
+// agentSubset returns the at most MaxAgents agents that rendezvous hashing
+// assigns to this entry. The limit keeps the number of connections and status
+// reports per entry constant as the fleet grows.
 func (e *Entry) agentSubset(agents map[string]infra.Host) map[string]infra.Host {
 	if len(agents) <= e.cfg.MaxAgents {
 		return agents
@@ -93,7 +96,9 @@
 	return out
 }
 
-// reconcileNodes makes nodes match the hosts. Entry.mu must be held.
+// reconcileNodes removes the nodes that are not in hosts or have another address
+// there, and adds the missing ones. agents says that the nodes are agents, which
+// are also routed to. Entry.mu must be held.
 func (e *Entry) reconcileNodes(ctx context.Context, nodes map[string]*node, hosts map[string]infra.Host, agents bool) {
 	for name, n := range nodes {
 		if h, ok := hosts[name]; ok && h.Addr == n.host.Addr {
@@ -123,35 +128,37 @@
 	}
 }
 
-// redialDelay is the wait between dials of a node that cannot be reached.
+// redialDelay is the pause between attempts to connect to a node.
 const redialDelay = 200 * time.Millisecond
 
+// agent returns the node of an agent, or nil if this entry does not connect to it.
 func (e *Entry) agent(name string) *node {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.agents[name]
 }
 
-// feedAgents keeps a batch stream open from a partition owner to each agent.
+// feedAgents keeps a batch stream open from a partition owner to each agent until
+// ctx ends.
 func (e *Entry) feedAgents(ctx context.Context, o *ledger.Owner) {
-	fed := make(map[string]context.CancelFunc)
+	feeds := make(map[string]context.CancelFunc)
 	tick := time.NewTicker(redialDelay)
 	defer tick.Stop()
 	for {
 		e.mu.Lock()
 		for name, n := range e.agents {
-			if fed[name] != nil {
+			if feeds[name] != nil {
 				continue
 			}
 			fctx, cancel := context.WithCancel(ctx)
 			stop := context.AfterFunc(n.ctx, cancel)
-			fed[name] = func() { stop(); cancel() }
+			feeds[name] = func() { stop(); cancel() }
 			go e.feedAgent(fctx, o, name, n)
 		}
-		for name, cancel := range fed {
+		for name, cancel := range feeds {
 			if e.agents[name] == nil {
 				cancel()
-				delete(fed, name)
+				delete(feeds, name)
 			}
 		}
 		e.mu.Unlock()
@@ -185,7 +192,7 @@
 	o.Attach(ctx, name, feedStream{st})
 }
 
-// feedStream adapts a link stream to the ledger's port.
+// feedStream adapts a link stream to the stream interface of the ledger.
 type feedStream struct {
 	st *link.Stream
 }
@@ -194,7 +201,9 @@
 func (f feedStream) Recv(m *wire.FeedUp) error   { return f.st.Recv(m) }
 func (f feedStream) Close()                      { f.st.Close() }
 
-// fetchConfig asks other entries for configuration.
+// fetchConfig asks the other entries for config records from offset from on, and
+// returns the reply that reaches furthest. Entries that do not answer are
+// skipped.
 func (e *Entry) fetchConfig(ctx context.Context, from uint64) (*wire.ConfigRecords, error) {
 	e.mu.Lock()
 	var peers []*node
@@ -216,27 +225,28 @@
 	return best, nil
 }
 
-// peerTimeout bounds one short call to another entry.
+// peerTimeout is the time limit of one short call to another node.
 const peerTimeout = time.Second
 
-// Bounds of calls to partition owners.
+// Retries of calls to partition owners.
 const (
-	ownerRetryTimeout = 8 * time.Second // for a partition that is changing hands
+	ownerRetryTimeout = 8 * time.Second // for a partition whose owner is changing
 	ownerRetryDelay   = 200 * time.Millisecond
 )
 
-// CallOwner sends a request to the owner of a partition, wherever it is, and waits for
-// a partition that is changing hands. All such requests may be repeated.
+// CallOwner sends a request to the owner of its partition, which may be this
+// entry. While the owner is changing it retries for up to ownerRetryTimeout; this
+// is safe because all these requests are idempotent.
 func (e *Entry) CallOwner(ctx context.Context, req *wire.PeerRequest) (*wire.PeerReply, error) {
-	until := time.Now().Add(ownerRetryTimeout)
+	deadline := time.Now().Add(ownerRetryTimeout)
 	for {
 		reply := e.callOwnerOnce(ctx, req)
 		if reply.GetFailure() == nil {
 			return reply, nil
 		}
 		err := apierr.FromWire(reply.GetFailure())
-		again := err.Code == apierr.CodeNotOwner && time.Now().Before(until) && ctx.Err() == nil
-		if !again {
+		retry := err.Code == apierr.CodeNotOwner && time.Now().Before(deadline) && ctx.Err() == nil
+		if !retry {
 			return nil, err
 		}
 		_ = wait.For(ctx, ownerRetryDelay)
@@ -257,7 +267,7 @@
 	reply := &wire.PeerReply{}
 	call := &wire.Call{Kind: &wire.Call_Peer{Peer: req}}
 	if err := n.peer.Call(ctx, link.Batch, call, reply); err != nil {
-		e.log.Debug("owner not reached", logging.F("owner", owner), logging.F("error", err.Error()))
+		e.log.Debug("call to the partition owner failed", logging.F("owner", owner), logging.F("error", err.Error()))
 		return failureReply(apierr.Unknown(apierr.CodeNotOwner, "the partition's owner does not answer").After(time.Second))
 	}
 	return reply
@@ -267,7 +277,8 @@
 	return &wire.PeerReply{Failure: err.ToWire()}
 }
 
-// servePeer carries out a request on a partition that this entry runs.
+// servePeer serves a request for a partition, and fails if this entry does not
+// own it.
 func (e *Entry) servePeer(ctx context.Context, req *wire.PeerRequest) *wire.PeerReply {
 	o := e.manager.Owner(req.GetPartition())
 	if o == nil {
--- a/entry/inforce.go
+++ b/entry/inforce.go
@@ -13,13 +13,14 @@
 	"pumiceford/wire"
 )
 
-// Bounds of asking the fleet for its offsets.
+// maxConcurrentProbes is the number of nodes that laggingNodes asks at a time.
 const maxConcurrentProbes = 32
 
-// laggingNodes names the nodes of the host list that have not reached an offset.
-// Nodes that report to this entry on heartbeats are not asked; the others are,
-// since keeping a connection from every entry to every node would cost more than
-// a few hundred changes a day are worth.
+// laggingNodes returns the sorted names of the nodes on the host list that have
+// not applied the configuration up to offset. It asks only nodes whose offset, as
+// last reported in heartbeats, is not sufficient or not known. Asking them on
+// demand is cheaper than a permanent connection from every entry to every node,
+// as there are only a few hundred configuration changes a day.
 func (e *Entry) laggingNodes(ctx context.Context, offset uint64) []string {
 	e.mu.Lock()
 	hosts := slices.Clone(e.hosts)
@@ -42,12 +43,14 @@
 			return nil
 		})
 	}
-	// The probes report through out and never fail.
+	// The functions always return nil; they report through out.
 	_ = g.Wait()
 	slices.Sort(out)
 	return out
 }
 
+// knownOffset returns the last config offset known of a node without asking it, 0
+// if there is none.
 func (e *Entry) knownOffset(name string) uint64 {
 	if name == e.cfg.Name {
 		return e.follower.Offset()
@@ -57,8 +60,9 @@
 	return e.offsets[name]
 }
 
-// probeOffset asks a node for the config offset that it has reached, 0 when it does
-// not answer.
+// probeOffset asks a node for its config offset and returns 0 if the node does not
+// answer within peerTimeout. It opens a temporary connection to a node that this
+// entry is not connected to.
 func (e *Entry) probeOffset(ctx context.Context, h infra.Host) uint64 {
 	e.mu.Lock()
 	n := e.entries[h.Name]
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -15,13 +15,13 @@
 	"pumiceford/wire"
 )
 
-// Digest16 hashes parts to 16 bytes. Each part is preceded by its length, so
-// that different parts never join to the same bytes.
+// Digest16 returns a 16-byte hash of parts. Each part is hashed with its length as
+// prefix, so that different lists of parts never concatenate to the same input.
 func Digest16(parts ...[]byte) []byte {
 	lo, hi := xxhash.New(), xxhash.NewWithSeed(highHalfSeed)
 	for _, p := range parts {
 		size := binary.BigEndian.AppendUint64(nil, uint64(len(p)))
-		// Hashes in memory take every write.
+		// Writes to an xxhash digest never fail.
 		_, _ = lo.Write(size)
 		_, _ = lo.Write(p)
 		_, _ = hi.Write(size)
@@ -30,52 +30,55 @@
 	return hi.Sum(lo.Sum(nil))
 }
 
-// highHalfSeed makes the second half of a digest independent of the first.
+// highHalfSeed seeds the second hash of Digest16, to make the two halves of a
+// digest independent.
 const highHalfSeed = 0x70756d69
 
-// partitionOf returns the partition of an id.
+// partitionOf returns the partition that an ID hashes to.
 func (e *Entry) partitionOf(id []byte) uint32 {
 	return uint32(xxhash.Sum64(id) % uint64(e.cfg.Ledger.Partitions))
 }
 
-// keyRetention is how long a key is remembered. It outlives every deadline.
+// keyRetention is how long an idempotency key is stored. It must exceed every
+// request deadline.
 const keyRetention = 24 * time.Hour
 
-// runKeyed runs a non-idempotent request at most once for its key, whichever entry
-// the caller's resends go through. The start is on the log before the request
-// goes to an agent; the record that comes first in the log decides which request
-// owns the key. Without the log the request is refused, not run.
-func (r *dispatch) runKeyed(ctx context.Context) (*wire.End, error) {
-	choice, ok := r.pickAgent()
+// runKeyed runs a non-idempotent request at most once for its key, even if the
+// caller retries it through other entries. The start is recorded in the log
+// before the request is sent to an agent, and the first record in the log decides
+// which request owns the key. If the log is unavailable, the request fails
+// without being run.
+func (d *dispatch) runKeyed(ctx context.Context) (*wire.End, error) {
+	choice, ok := d.pickAgent()
 	if !ok {
-		return nil, withUnknownOutcome(r.noTargetError())
+		return nil, withUnknownOutcome(d.noTargetError())
 	}
-	reply, err := r.recordKey(ctx, choice)
+	reply, err := d.recordKey(ctx, choice)
 	if err != nil {
-		r.recordEnd(choice.Name, nil)
+		d.recordEnd(choice.Name, nil)
 		return nil, err
 	}
 	if !reply.GetFirst() {
-		r.recordEnd(choice.Name, nil)
-		return r.attachToKeyOwner(ctx, reply)
+		d.recordEnd(choice.Name, nil)
+		return d.attachToKeyOwner(ctx, reply)
 	}
-	end, err := r.sendTo(ctx, choice)
-	r.recordEnd(choice.Name, err)
+	end, err := d.sendTo(ctx, choice)
+	d.recordEnd(choice.Name, err)
 	if err == nil {
 		return end, nil
 	}
-	return nil, r.finalError(err)
+	return nil, d.finalError(err)
 }
 
-func (r *dispatch) recordKey(ctx context.Context, choice routing.Choice) (*wire.KeyReply, error) {
-	key := Digest16([]byte("key"), []byte(r.req.Workspace), []byte(r.req.Key))
-	reply, err := r.e.CallOwner(ctx, &wire.PeerRequest{
-		Partition: r.e.partitionOf(key),
+func (d *dispatch) recordKey(ctx context.Context, choice routing.Choice) (*wire.KeyReply, error) {
+	key := Digest16([]byte("key"), []byte(d.req.Workspace), []byte(d.req.Key))
+	reply, err := d.e.CallOwner(ctx, &wire.PeerRequest{
+		Partition: d.e.partitionOf(key),
 		Kind: &wire.PeerRequest_RecordKey{RecordKey: &wire.RecordKey{
-			Workspace:       r.req.Workspace,
+			Workspace:       d.req.Workspace,
 			Key:             key,
-			Request:         r.req.ID[:],
-			Digest:          r.digest(),
+			Request:         d.req.ID[:],
+			Digest:          d.digest(),
 			Agent:           choice.Name,
 			KeepUntilUnixMs: time.Now().Add(keyRetention).UnixMilli(),
 		}},
@@ -89,10 +92,10 @@
 	return reply.GetKey(), nil
 }
 
-// withUnknownOutcome is the truth of a refusal while nobody can tell who owns the key. This
-// call sent nothing to an agent and never will, but an earlier call with the same
-// key may have run. A caller who read "not run" might send its request under a
-// new key, and it would run twice.
+// withUnknownOutcome marks a failure to determine the owner of a key as "unknown
+// whether it ran". This call sends nothing to an agent, but an earlier call with
+// the same key may have run. If the caller were told "not run", it could send the
+// request again under a new key, and the request would run twice.
 func withUnknownOutcome(err error) error {
 	fail := *apierr.From(err)
 	fail.Ran = wire.Ran_RAN_UNKNOWN
@@ -100,35 +103,37 @@
 	return &fail
 }
 
-// digest identifies the content of the request.
-func (r *dispatch) digest() []byte {
-	tokens := binary.BigEndian.AppendUint32(nil, r.req.MaxTokens)
-	return Digest16([]byte(r.req.Model), []byte(r.req.Prompt), tokens,
-		[]byte(r.req.Service), []byte(r.req.Method), []byte(r.req.Path), r.req.Body)
+// digest returns a hash of the request's content.
+func (d *dispatch) digest() []byte {
+	tokens := binary.BigEndian.AppendUint32(nil, d.req.MaxTokens)
+	return Digest16([]byte(d.req.Model), []byte(d.req.Prompt), tokens,
+		[]byte(d.req.Service), []byte(d.req.Method), []byte(d.req.Path), d.req.Body)
 }
 
-// attachToKeyOwner gives the caller the answer of the request that owns the key.
-func (r *dispatch) attachToKeyOwner(ctx context.Context, key *wire.KeyReply) (*wire.End, error) {
-	n := r.e.agent(key.GetAgent())
+// attachToKeyOwner returns the answer of the request that owns the key, by
+// attaching to it at the agent that runs it.
+func (d *dispatch) attachToKeyOwner(ctx context.Context, owner *wire.KeyReply) (*wire.End, error) {
+	n := d.e.agent(owner.GetAgent())
 	if n == nil {
 		return nil, apierr.Unknown(apierr.CodeOutcomeUnknown, "the target that had this request is gone")
 	}
-	r.e.mu.Lock()
-	inc := ""
-	if a := r.e.router.Get(key.GetAgent()); a != nil {
-		inc = a.Report.Incarnation
+	d.e.mu.Lock()
+	incarnation := ""
+	if a := d.e.router.Get(owner.GetAgent()); a != nil {
+		incarnation = a.Report.Incarnation
 	}
-	r.e.mu.Unlock()
-	at := &answerReader{dispatch: r, node: n, incarnation: []byte(inc), assembler: online.NewAssembler(key.GetRequest()), id: key.GetRequest(), shared: true}
-	end, err := at.readToEnd(ctx, &wire.Call{Kind: &wire.Call_Attach{Attach: &wire.Attach{Id: key.GetRequest()}}})
+	d.e.mu.Unlock()
+	reader := &answerReader{dispatch: d, node: n, incarnation: []byte(incarnation), assembler: online.NewAssembler(owner.GetRequest()), id: owner.GetRequest(), shared: true}
+	end, err := reader.readToEnd(ctx, &wire.Call{Kind: &wire.Call_Attach{Attach: &wire.Attach{Id: owner.GetRequest()}}})
 	if err == nil {
 		return end, nil
 	}
 	if errors.Is(err, errAgentLost) {
 		return nil, apierr.Unknown(apierr.CodeOutcomeUnknown, "the target that had this request does not know it any more")
 	}
-	return nil, r.finalError(err)
+	return nil, d.finalError(err)
 }
 
-// The longest deadline must be over before a key is forgotten.
+// This constant compiles only if keyRetention is at least agent.MaxTimeout: a key
+// must be stored until the longest deadline has passed.
 const _ = uint64(keyRetention - agent.MaxTimeout)
--- a/entry/ledger_fault_test.go
+++ b/entry/ledger_fault_test.go
@@ -18,17 +18,18 @@
 	"pumiceford/wire"
 )
 
-// testJob is what the oracle knows of a job: only what was told to its caller.
+// testJob is a job with the expectations of the checks, which come only from what
+// its caller was told.
 type testJob struct {
 	name          string
 	items         int
-	poisonIndex   int // index of an item that can never be done, -1 for none
-	crashIndex    int // index of an item that kills its engine, -1 for none
+	poisonIndex   int // index of an item that always fails, -1 for none
+	crashIndex    int // index of an item that crashes its engine, -1 for none
 	nonIdempotent bool
 	key           string
 	ref           objectRef
 	accepted      bool
-	cancelled     bool // "cancelled" was told
+	cancelled     bool // the caller was told "cancelled"
 	doneAtCancel  uint32
 	runsAtCancel  map[string]int
 }
@@ -61,37 +62,37 @@
 	return b.Bytes()
 }
 
-// submit sends the job through an entry, as often as needed, and returns whether
-// it was accepted within the bound.
-func (w *testCluster) submit(j *testJob, through int, bound time.Duration) error {
-	ctx, cancel := context.WithTimeout(w.ctx, bound)
+// submit sends the job through entry via and returns an error if it is not
+// accepted within timeout, or if a retry creates another job.
+func (tc *testCluster) submit(j *testJob, via int, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(tc.ctx, timeout)
 	defer cancel()
-	e := w.runningEntry(through)
+	e := tc.runningEntry(via)
 	if e == nil {
 		return errPipeDown
 	}
-	at, err := e.storeFile(ctx, testWorkspace.Name, j.name, j.file())
+	ref, err := e.storeFile(ctx, testWorkspace.Name, j.name, j.file())
 	if err != nil {
 		return err
 	}
 	req := &Request{Key: j.key, NonIdempotent: j.nonIdempotent}
 	body := submitBody{Endpoint: "/v1/completions"}
-	_, job, err := e.submit(ctx, testWorkspace, req, body, defaultWindow, at)
+	_, job, err := e.submit(ctx, testWorkspace, req, body, defaultWindow, ref)
 	if err != nil {
 		return err
 	}
 	if j.accepted && job.String() != j.ref.String() {
-		return fmt.Errorf("resend of %s became job %s, was %s", j.name, job, j.ref)
+		return fmt.Errorf("retry of %s created job %s, want %s", j.name, job, j.ref)
 	}
 	j.ref = job
 	j.accepted = true
 	return nil
 }
 
-func (w *testCluster) cancelJob(j *testJob, through int, bound time.Duration) {
-	ctx, cancel := context.WithTimeout(w.ctx, bound)
+func (tc *testCluster) cancelJob(j *testJob, via int, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(tc.ctx, timeout)
 	defer cancel()
-	e := w.runningEntry(through)
+	e := tc.runningEntry(via)
 	if e == nil || !j.accepted {
 		return
 	}
@@ -103,14 +104,15 @@
 	}
 	j.cancelled = true
 	j.doneAtCancel = reply.GetJob().GetSucceeded() + reply.GetJob().GetFailed()
-	j.runsAtCancel = w.countItemRuns(j)
+	j.runsAtCancel = tc.countItemRuns(j)
 }
 
-// countItemRuns counts engine executions by item of a job.
-func (w *testCluster) countItemRuns(j *testJob) map[string]int {
+// countItemRuns returns the number of engine runs of each item of a job, by
+// request ID.
+func (tc *testCluster) countItemRuns(j *testJob) map[string]int {
 	out := make(map[string]int)
 	prefix := fmt.Sprintf("b%d-%x-", j.ref.partition, j.ref.id)
-	for _, e := range w.engines {
+	for _, e := range tc.engines {
 		for id, n := range e.AllRuns() {
 			if strings.HasPrefix(id, prefix) {
 				out[id] += n
@@ -120,10 +122,10 @@
 	return out
 }
 
-// configureModel puts the model in force.
-func (w *testCluster) configureModel(ctx context.Context) error {
+// configureModel proposes and confirms a plan that adds the model.
+func (tc *testCluster) configureModel(ctx context.Context) error {
 	op := config.Operator{Name: "dev", Scope: config.ScopeFleet}
-	e := w.runningEntry(0)
+	e := tc.runningEntry(0)
 	v, err := e.follower.Propose(ctx, op, "", []config.Intent{{Kind: config.SetModel, Model: testModel, Version: "v1"}})
 	if err != nil {
 		return err
@@ -136,28 +138,30 @@
 	return err
 }
 
-// eventually repeats try in virtual time until it succeeds or bound has passed.
-func eventually(bound time.Duration, try func() error) error {
-	until := time.Now().Add(bound)
+// eventually calls try until it succeeds or timeout has passed in virtual time,
+// and returns its last error.
+func eventually(timeout time.Duration, try func() error) error {
+	deadline := time.Now().Add(timeout)
 	for {
 		err := try()
-		if err == nil || time.Now().After(until) {
+		if err == nil || time.Now().After(deadline) {
 			return err
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// checkFinalState compares a job with what the oracle knows, after all faults ended.
-func (w *testCluster) checkFinalState(j *testJob) error {
+// checkFinalState waits until the job has ended and checks its results. All
+// faults must have been cleared.
+func (tc *testCluster) checkFinalState(j *testJob) error {
 	if !j.accepted {
 		return nil
 	}
 	var info *wire.JobInfo
 	err := eventually(2*time.Minute, func() error {
-		ctx, cancel := context.WithTimeout(w.ctx, 30*time.Second)
+		ctx, cancel := context.WithTimeout(tc.ctx, 30*time.Second)
 		defer cancel()
-		got, err := w.runningEntry(0).job(ctx, testWorkspace, j.ref)
+		got, err := tc.runningEntry(0).job(ctx, testWorkspace, j.ref)
 		if err != nil {
 			return err
 		}
@@ -170,37 +174,37 @@
 	if err != nil {
 		return err
 	}
-	return w.checkItems(j, info)
+	return tc.checkItems(j, info)
 }
 
-func (w *testCluster) checkItems(j *testJob, info *wire.JobInfo) error {
+func (tc *testCluster) checkItems(j *testJob, info *wire.JobInfo) error {
 	if int(info.GetTotal()) != j.items {
-		return fmt.Errorf("job %s has %d items, sent %d", j.name, info.GetTotal(), j.items)
+		return fmt.Errorf("job %s has %d items, want %d", j.name, info.GetTotal(), j.items)
 	}
 	if j.cancelled {
 		if done := info.GetSucceeded() + info.GetFailed(); info.GetState() != "cancelled" || done != j.doneAtCancel {
-			return fmt.Errorf("job %s: %d items completed after the cancel was told", j.name, done-j.doneAtCancel)
+			return fmt.Errorf("job %s: %d items completed after the cancel was confirmed", j.name, done-j.doneAtCancel)
 		}
-		for id, n := range w.countItemRuns(j) {
+		for id, n := range tc.countItemRuns(j) {
 			if n != j.runsAtCancel[id] {
-				return fmt.Errorf("job %s: item %s started after the cancel was told", j.name, id)
+				return fmt.Errorf("job %s: item %s started after the cancel was confirmed", j.name, id)
 			}
 		}
 	}
 	if j.nonIdempotent {
-		for id, n := range w.countItemRuns(j) {
+		for id, n := range tc.countItemRuns(j) {
 			if n > 1 {
 				return fmt.Errorf("non-idempotent item %s ran %d times", id, n)
 			}
 		}
 	}
-	return w.checkResults(j, info)
+	return tc.checkResults(j, info)
 }
 
-func (w *testCluster) checkResults(j *testJob, info *wire.JobInfo) error {
-	for n := range w.settings.entries {
-		ctx, cancel := context.WithTimeout(w.ctx, time.Minute)
-		reply, err := w.runningEntry(n).CallOwner(ctx, &wire.PeerRequest{Partition: j.ref.partition, Kind: &wire.PeerRequest_ReadResults{ReadResults: &wire.ReadResults{
+func (tc *testCluster) checkResults(j *testJob, info *wire.JobInfo) error {
+	for n := range tc.settings.entries {
+		ctx, cancel := context.WithTimeout(tc.ctx, time.Minute)
+		reply, err := tc.runningEntry(n).CallOwner(ctx, &wire.PeerRequest{Partition: j.ref.partition, Kind: &wire.PeerRequest_ReadResults{ReadResults: &wire.ReadResults{
 			Workspace: testWorkspace.Name, Job: j.ref.id,
 		}}})
 		cancel()
@@ -216,11 +220,11 @@
 
 func (j *testJob) checkLines(lines []*wire.ResultLine, info *wire.JobInfo) error {
 	if len(lines) != j.items {
-		return fmt.Errorf("job %s: %d results of %d items", j.name, len(lines), j.items)
+		return fmt.Errorf("job %s has %d results, want %d", j.name, len(lines), j.items)
 	}
 	for n, l := range lines {
 		if l.GetCustomId() != fmt.Sprintf("%s-%d", j.name, n) {
-			return fmt.Errorf("job %s: result %d is of %s", j.name, n, l.GetCustomId())
+			return fmt.Errorf("job %s: result %d has custom_id %s", j.name, n, l.GetCustomId())
 		}
 		if err := j.checkLine(n, l, info); err != nil {
 			return err
@@ -236,14 +240,14 @@
 			return fmt.Errorf("job %s item %d: got %q, want %q", j.name, n, l.GetText(), want)
 		}
 		if n == j.poisonIndex || n == j.crashIndex {
-			return fmt.Errorf("job %s item %d can never be done and succeeded", j.name, n)
+			return fmt.Errorf("job %s item %d must fail but succeeded", j.name, n)
 		}
 	case "failed":
 		if l.GetReason() == "" {
 			return fmt.Errorf("job %s item %d failed without a reason", j.name, n)
 		}
-		unknown := j.nonIdempotent && l.GetReason() != ledger.ReasonTargetLost
-		if n != j.poisonIndex && n != j.crashIndex && !unknown {
+		unknownOutcome := j.nonIdempotent && l.GetReason() != ledger.ReasonTargetLost
+		if n != j.poisonIndex && n != j.crashIndex && !unknownOutcome {
 			return fmt.Errorf("job %s item %d failed: %s", j.name, n, l.GetReason())
 		}
 	case "cancelled":
@@ -251,12 +255,12 @@
 			return fmt.Errorf("job %s item %d is cancelled in a job that is %s", j.name, n, info.GetState())
 		}
 	default:
-		return fmt.Errorf("job %s item %d is %s", j.name, n, l.GetState())
+		return fmt.Errorf("job %s item %d has unexpected state %s", j.name, n, l.GetState())
 	}
 	return nil
 }
 
-// step is one drawn event with its arguments.
+// step is one random action or fault with its arguments.
 type step struct {
 	Kind  string
 	A, B  int
@@ -265,32 +269,33 @@
 
 var stepKinds = []string{
 	"submit", "submit", "resend", "cancel",
-	"kill entry", "restart entry", "pause entry", "resume entry", "freeze entry", "freeze entry",
+	"kill entry", "restart entry", "pause entry", "resume entry", "pause and delist entry", "pause and delist entry",
 	"kill agent", "restart agent", "crash engine", "silence",
-	"log down", "log up", "lose answers", "drop appends", "late copies",
+	"log down", "log up", "lose answers", "drop appends", "repeat appends",
 }
 
-// drawDelay draws short delays, within which several things happen to one
-// request, as often as long ones, within which the system reacts.
+// drawDelay draws short delays as often as long ones. Within short delays several
+// faults affect the same request; within long ones the system reacts to a fault.
 func drawDelay(t *rapid.T) time.Duration {
-	most := rapid.SampledFrom([]int{5, 60, 1500}).Draw(t, "delay scale")
-	return time.Duration(rapid.IntRange(1, most).Draw(t, "after ms")) * time.Millisecond
+	maxMs := rapid.SampledFrom([]int{5, 60, 1500}).Draw(t, "delay scale")
+	return time.Duration(rapid.IntRange(1, maxMs).Draw(t, "after ms")) * time.Millisecond
 }
 
-// drawSteps draws up to most steps of the given kinds on hosts 0 to last.
-func drawSteps(t *rapid.T, kinds []string, last, most int) []step {
+// drawSteps draws up to maxSteps steps of the given kinds on hosts 0 to lastHost.
+func drawSteps(t *rapid.T, kinds []string, lastHost, maxSteps int) []step {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
 		return step{
 			Kind:  rapid.SampledFrom(kinds).Draw(t, "kind"),
-			A:     rapid.IntRange(0, last).Draw(t, "a"),
+			A:     rapid.IntRange(0, lastHost).Draw(t, "a"),
 			B:     rapid.IntRange(0, 9).Draw(t, "b"),
 			After: drawDelay(t),
 		}
-	}), 1, most).Draw(t, "steps")
+	}), 1, maxSteps).Draw(t, "steps")
 }
 
-// applyStep carries out one step. Submits and cancels run beside the faults.
-func (w *testCluster) applyStep(s step, jobs *[]*testJob) {
+// applyStep applies one step on jobs and entries, and appends a submitted job to
+// jobs.
+func (tc *testCluster) applyStep(s step, jobs *[]*testJob) {
 	switch s.Kind {
 	case "submit":
 		j := &testJob{name: fmt.Sprintf("job%d", len(*jobs)), items: 3 + 4*s.B, poisonIndex: -1, crashIndex: -1}
@@ -306,72 +311,73 @@
 			j.key = "key-" + j.name
 		}
 		*jobs = append(*jobs, j)
-		_ = w.submit(j, s.A, 3*time.Second)
+		_ = tc.submit(j, s.A, 3*time.Second)
 	case "resend":
 		if len(*jobs) > 0 {
-			_ = w.submit((*jobs)[s.B%len(*jobs)], s.A, 3*time.Second)
+			_ = tc.submit((*jobs)[s.B%len(*jobs)], s.A, 3*time.Second)
 		}
 	case "cancel":
 		if len(*jobs) > 0 {
-			w.cancelJob((*jobs)[s.B%len(*jobs)], s.A, 3*time.Second)
+			tc.cancelJob((*jobs)[s.B%len(*jobs)], s.A, 3*time.Second)
 		}
 	case "kill entry":
-		if len(w.entries) > 1 {
-			w.killEntry(entryName(s.A))
+		if len(tc.entries) > 1 {
+			tc.killEntry(entryName(s.A))
 		}
 	case "restart entry":
-		if w.entries[entryName(s.A)] == nil && s.A < w.settings.entries {
-			w.startEntry(entryName(s.A))
+		if tc.entries[entryName(s.A)] == nil && s.A < tc.settings.entries {
+			tc.startEntry(entryName(s.A))
 		}
 	case "pause entry":
-		if e := w.entries[entryName(s.A)]; e != nil && w.unpausedEntries() > 1 {
+		if e := tc.entries[entryName(s.A)]; e != nil && tc.unpausedEntries() > 1 {
 			e.host.pause()
 		}
 	case "resume entry":
-		if e := w.entries[entryName(s.A)]; e != nil {
+		if e := tc.entries[entryName(s.A)]; e != nil {
 			e.host.resume()
-			w.restoreToHostList(entryName(s.A))
+			tc.restoreToHostList(entryName(s.A))
 		}
-	case "freeze entry":
-		// A paused host that the list drops, as if it were dead.
-		if e := w.entries[entryName(s.A)]; e != nil && w.unpausedEntries() > 1 {
+	case "pause and delist entry":
+		// The host list drops the paused host as if it were dead.
+		if e := tc.entries[entryName(s.A)]; e != nil && tc.unpausedEntries() > 1 {
 			e.host.pause()
-			w.hosts.Remove(entryName(s.A))
+			tc.hosts.Remove(entryName(s.A))
 		}
 	default:
-		w.applyBackendStep(s)
+		tc.applyBackendStep(s)
 	}
 }
 
-func (w *testCluster) applyBackendStep(s step) {
-	name := agentName(s.A % w.settings.agents)
+// applyBackendStep applies one step on agents, engines, connections or the log.
+func (tc *testCluster) applyBackendStep(s step) {
+	name := agentName(s.A % tc.settings.agents)
 	switch s.Kind {
 	case "kill agent":
-		w.killAgent(name)
+		tc.killAgent(name)
 	case "restart agent":
-		if w.agents[name] == nil {
-			w.startAgent(name)
+		if tc.agents[name] == nil {
+			tc.startAgent(name)
 		}
 	case "crash engine":
-		w.engines[name].Crash()
+		tc.engines[name].Crash()
 	case "silence":
-		w.net.silenceConns(entryName(s.A%w.settings.entries), agentName(s.B%w.settings.agents))
+		tc.net.silenceConns(entryName(s.A%tc.settings.entries), agentName(s.B%tc.settings.agents))
 	case "log down":
-		w.log.SetDown(true)
+		tc.log.SetDown(true)
 	case "log up":
-		w.log.SetDown(false)
+		tc.log.SetDown(false)
 	case "lose answers":
-		w.log.LoseAnswers(1 + s.B)
+		tc.log.LoseAnswers(1 + s.B)
 	case "drop appends":
-		w.log.DropAppends(1 + s.B)
-	case "late copies":
-		w.log.SetFaultRates(0.2, 0.5)
+		tc.log.DropAppends(1 + s.B)
+	case "repeat appends":
+		tc.log.SetFaultRates(0.2, 0.5)
 	}
 }
 
-func (w *testCluster) unpausedEntries() int {
+func (tc *testCluster) unpausedEntries() int {
 	n := 0
-	for _, e := range w.entries {
+	for _, e := range tc.entries {
 		if !e.host.isPaused() {
 			n++
 		}
@@ -379,33 +385,35 @@
 	return n
 }
 
-// clearFaults ends all faults.
-func (w *testCluster) clearFaults() {
-	w.log.SetDown(false)
-	w.log.LoseAnswers(0)
-	w.log.DropAppends(0)
-	w.log.SetFaultRates(0, 0)
-	w.net.resumeAll()
-	for n := range w.settings.entries {
-		if w.entries[entryName(n)] == nil {
-			w.startEntry(entryName(n))
+// clearFaults ends all faults and restarts the entries and agents that are not
+// running.
+func (tc *testCluster) clearFaults() {
+	tc.log.SetDown(false)
+	tc.log.LoseAnswers(0)
+	tc.log.DropAppends(0)
+	tc.log.SetFaultRates(0, 0)
+	tc.net.resumeAll()
+	for n := range tc.settings.entries {
+		if tc.entries[entryName(n)] == nil {
+			tc.startEntry(entryName(n))
 			continue
 		}
-		w.restoreToHostList(entryName(n))
+		tc.restoreToHostList(entryName(n))
 	}
-	for n := range w.settings.agents {
-		if w.agents[agentName(n)] == nil {
-			w.startAgent(agentName(n))
+	for n := range tc.settings.agents {
+		if tc.agents[agentName(n)] == nil {
+			tc.startAgent(agentName(n))
 		}
 	}
 }
 
-// restoreToHostList puts a living entry back on the host list.
-func (w *testCluster) restoreToHostList(name string) {
-	w.hosts.Put(hostOf(name))
+// restoreToHostList puts a running entry back on the host list.
+func (tc *testCluster) restoreToHostList(name string) {
+	tc.hosts.Put(hostOf(name))
 }
 
-// runLedgerScenario plays steps in virtual time and compares the end with the oracle.
+// runLedgerScenario applies steps in virtual time and checks the final state of
+// all jobs. If trimmed is set, the log retains only 400 records.
 func runLedgerScenario(t *testing.T, steps []step, trimmed bool) error {
 	var failure error
 	runInBubble(t, func(*testing.T) {
@@ -413,28 +421,28 @@
 		if trimmed {
 			set.log.RetainRecords = 400
 		}
-		w := newTestCluster(set)
-		defer w.close()
-		failure = eventually(time.Minute, func() error { return w.configureModel(w.ctx) })
+		tc := newTestCluster(set)
+		defer tc.close()
+		failure = eventually(time.Minute, func() error { return tc.configureModel(tc.ctx) })
 		if failure != nil {
 			return
 		}
 		var jobs []*testJob
 		for _, s := range steps {
 			time.Sleep(s.After)
-			w.applyStep(s, &jobs)
+			tc.applyStep(s, &jobs)
 		}
-		w.clearFaults()
+		tc.clearFaults()
 		for n, j := range jobs {
-			// Callers resend in the end; an accepted job must be met again, and
-			// any other accepted now.
-			if failure = eventually(2*time.Minute, func() error { return w.submit(j, n, 10*time.Second) }); failure != nil {
-				failure = fmt.Errorf("resend of %s: %w", j.name, failure)
+			// All callers retry in the end: an accepted job must be found again,
+			// and any other job must be accepted now.
+			if failure = eventually(2*time.Minute, func() error { return tc.submit(j, n, 10*time.Second) }); failure != nil {
+				failure = fmt.Errorf("retry of %s: %w", j.name, failure)
 				return
 			}
 		}
 		for _, j := range jobs {
-			if failure = w.checkFinalState(j); failure != nil {
+			if failure = tc.checkFinalState(j); failure != nil {
 				return
 			}
 		}
@@ -442,11 +450,11 @@
 	return failure
 }
 
-// Symptom of every fault caught here: an accepted item that never completes,
-// completes twice or with another's result, runs on after its cancel was told, or
-// runs twice although it may not. The sequence is drawn: crashes, pauses past the
-// lease, takeover races, lost answers, late copies, outages, resends, cancels and
-// killers in any order.
+// Guards against accepted items that never complete, complete twice or with
+// another item's result, run after their cancel was confirmed, or run twice
+// although they are not idempotent. The random steps are crashes, pauses longer
+// than the lease, takeover races, lost replies, repeated appends, outages,
+// retries, cancels and items that crash their engine, in any order.
 func TestBatchJobsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := drawSteps(rt, stepKinds, 2, 25)
@@ -456,37 +464,36 @@
 	})
 }
 
-// Symptom: a job's items or results are gone although the log kept them long
-// enough for an owner to act. Sequence: the log keeps few records, so that
-// everything old is trimmed while jobs run and results are read; owners are lost
-// in between. Cause guarded against: snapshots and needed records that are not
-// carried forward before retention takes them.
+// Guards against the loss of items or results when the log trims records: owners
+// must write snapshots, and copy the records that are still needed, before the
+// retention period ends. The log retains little, so that all old records are
+// trimmed while jobs run and results are read, and owners are killed in between.
 func TestJobsSurviveLogRetention(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		w := newTestCluster(clusterSettings{
+		tc := newTestCluster(clusterSettings{
 			entries: 2, agents: 2, partitions: 1, snapshotEvery: 30,
 			log: standin.LogSettings{Retention: 40 * time.Second}, retention: 40 * time.Second,
 		})
-		defer w.close()
-		if err := eventually(time.Minute, func() error { return w.configureModel(w.ctx) }); err != nil {
+		defer tc.close()
+		if err := eventually(time.Minute, func() error { return tc.configureModel(tc.ctx) }); err != nil {
 			t.Fatal(err)
 		}
 		var jobs []*testJob
 		for n := range 12 {
 			j := &testJob{name: fmt.Sprintf("kept%d", n), items: 20, poisonIndex: -1, crashIndex: -1}
-			if err := eventually(time.Minute, func() error { return w.submit(j, n, 5*time.Second) }); err != nil {
+			if err := eventually(time.Minute, func() error { return tc.submit(j, n, 5*time.Second) }); err != nil {
 				t.Fatal(err)
 			}
 			jobs = append(jobs, j)
 			time.Sleep(15 * time.Second)
 			if n%4 == 3 {
-				w.killEntry(entryName(n / 4 % 2))
+				tc.killEntry(entryName(n / 4 % 2))
 				time.Sleep(5 * time.Second)
-				w.startEntry(entryName(n / 4 % 2))
+				tc.startEntry(entryName(n / 4 % 2))
 			}
 		}
 		for _, j := range jobs {
-			if err := w.checkFinalState(j); err != nil {
+			if err := tc.checkFinalState(j); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -501,29 +508,30 @@
 	return b.String()
 }
 
-// Symptom: a caller is told that a job was accepted, and it is gone. Sequence:
-// the append takes effect, its answer is lost, and the owner dies. Cause guarded
-// against: telling before the record was read back.
+// A submit while the log is down must fail as not run. Guards against accepting a
+// job before its record has been read back from the log: if the append took
+// effect, its reply was lost and the owner died, a job that was reported as
+// accepted could be lost.
 func TestSubmitFailsWhileLogIsDown(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
-		w := newTestCluster(clusterSettings{entries: 2, agents: 1, partitions: 1, snapshotEvery: 40})
-		defer w.close()
-		if err := eventually(time.Minute, func() error { return w.configureModel(w.ctx) }); err != nil {
+		tc := newTestCluster(clusterSettings{entries: 2, agents: 1, partitions: 1, snapshotEvery: 40})
+		defer tc.close()
+		if err := eventually(time.Minute, func() error { return tc.configureModel(tc.ctx) }); err != nil {
 			t.Fatal(err)
 		}
 		j := &testJob{name: "refused", items: 3, poisonIndex: -1, crashIndex: -1}
-		if err := eventually(time.Minute, func() error { return w.submit(j, 0, 3*time.Second) }); err != nil {
+		if err := eventually(time.Minute, func() error { return tc.submit(j, 0, 3*time.Second) }); err != nil {
 			t.Fatal(err)
 		}
-		w.log.SetDown(true)
+		tc.log.SetDown(true)
 		time.Sleep(5 * time.Second)
 		late := &testJob{name: "late", items: 3, poisonIndex: -1, crashIndex: -1}
-		err := w.submit(late, 0, 3*time.Second)
+		err := tc.submit(late, 0, 3*time.Second)
 		if fail := apierr.From(err); err == nil || fail.Ran != wire.Ran_RAN_NO || fail.Code != apierr.CodeLogDown {
-			t.Fatalf("submit with the log down: %v", err)
+			t.Fatalf("submit with the log down: want log unavailable and not run, got %v", err)
 		}
-		w.log.SetDown(false)
-		if err := w.checkFinalState(j); err != nil {
+		tc.log.SetDown(false)
+		if err := tc.checkFinalState(j); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/entry/online.go
+++ b/entry/online.go
@@ -17,49 +17,49 @@
 	"pumiceford/wire"
 )
 
-// Request is one online request of a caller.
+// Request is an online request of a caller.
 type Request struct {
 	ID            uuid.UUID
 	Workspace     string
 	Model         string
 	Prompt        string
 	MaxTokens     uint32
-	Service       string // plain service; Model, Prompt and MaxTokens are unused then
+	Service       string // name of a plain service, for which Model, Prompt and MaxTokens are not used
 	Method        string
 	Path          string
 	Body          []byte
 	NonIdempotent bool
-	Key           string // caller's idempotency key, with NonIdempotent
+	Key           string // caller's idempotency key; it prevents a second run only with NonIdempotent
 	Deadline      time.Time
 	Weight        float64
 }
 
-// Sink receives the pieces of an answer in order. An error means that the caller
-// is gone.
+// Sink receives the pieces of an answer in order. It returns an error if the
+// caller has disconnected.
 type Sink func(*wire.Piece) error
 
-// dispatch is one online request on its way.
+// dispatch is the state of one online request while it is sent to agents.
 type dispatch struct {
 	e               *Entry
 	req             *Request
 	sink            Sink
-	deliveredTokens uint32   // tokens given to the caller
-	ran             wire.Ran // what is known of all tries so far
+	deliveredTokens uint32   // tokens passed to the caller so far
+	ran             wire.Ran // whether any attempt so far ran
 	excluded        map[string]bool
 }
 
-// maxAttempts bounds the agents that one request is sent to.
+// maxAttempts is the maximum number of agents that one request is sent to.
 const maxAttempts = 4
 
-// Do runs a request and gives its answer to sink. Every failure is an
-// apierr.Error that says truly whether the request ran.
+// Do runs a request and passes its answer to sink. It returns the end of the
+// answer or an *apierr.Error, whose Ran field says whether the request ran.
 func (e *Entry) Do(ctx context.Context, req *Request, sink Sink) (*wire.End, error) {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
-	r := &dispatch{e: e, req: req, sink: sink, excluded: make(map[string]bool), ran: wire.Ran_RAN_NO}
-	began := time.Now()
-	end, err := r.start(ctx)
-	e.cfg.Metrics.Observe("online_total", req.Workspace, time.Since(began))
+	d := &dispatch{e: e, req: req, sink: sink, excluded: make(map[string]bool), ran: wire.Ran_RAN_NO}
+	startedAt := time.Now()
+	end, err := d.start(ctx)
+	e.cfg.Metrics.Observe("online_total", req.Workspace, time.Since(startedAt))
 	if err == nil {
 		e.retryBudget.Success()
 		return end, nil
@@ -71,86 +71,95 @@
 	return nil, fail
 }
 
-func (r *dispatch) start(ctx context.Context) (*wire.End, error) {
-	if r.req.NonIdempotent && r.req.Key != "" {
-		return r.runKeyed(ctx)
+func (d *dispatch) start(ctx context.Context) (*wire.End, error) {
+	if d.req.NonIdempotent && d.req.Key != "" {
+		return d.runKeyed(ctx)
 	}
-	return r.tryAgents(ctx)
+	return d.tryAgents(ctx)
 }
 
-// pickAgent chooses an agent and counts the request there.
-func (r *dispatch) pickAgent() (routing.Choice, bool) {
-	q := routing.Query{Model: r.req.Model, Service: r.req.Service, Exclude: r.excluded}
-	if r.req.Service == "" {
-		q.Prefix = routing.PrefixKey(r.req.Model, r.req.Prompt)
+// pickAgent chooses an agent for the request and counts the request as running
+// there. It returns false if no agent is eligible.
+func (d *dispatch) pickAgent() (routing.Choice, bool) {
+	q := routing.Query{Model: d.req.Model, Service: d.req.Service, Exclude: d.excluded}
+	if d.req.Service == "" {
+		q.Prefix = routing.PrefixKey(d.req.Model, d.req.Prompt)
 	}
-	r.e.mu.Lock()
-	defer r.e.mu.Unlock()
-	c, ok := r.e.router.Pick(time.Now(), q)
+	d.e.mu.Lock()
+	defer d.e.mu.Unlock()
+	c, ok := d.e.router.Pick(time.Now(), q)
 	if ok {
-		r.e.router.Began(c.Name)
+		d.e.router.Began(c.Name)
 	}
 	return c, ok
 }
 
-func (r *dispatch) recordEnd(name string, err error) {
+// recordEnd tells the router that the request has ended at an agent, and whether
+// the agent or its engine is at fault.
+func (d *dispatch) recordEnd(name string, err error) {
 	fault := err != nil && (apierr.Is(err, apierr.CodeEngine) || errors.Is(err, errAgentLost))
-	r.e.mu.Lock()
-	defer r.e.mu.Unlock()
-	r.e.router.Ended(time.Now(), name, fault)
+	d.e.mu.Lock()
+	defer d.e.mu.Unlock()
+	d.e.router.Ended(time.Now(), name, fault)
 }
 
-// errAgentLost says that an agent that had the request cannot be asked any more.
-var errAgentLost = errors.New("agent gone")
+// errAgentLost marks failures in which the agent that received the request, or was
+// meant to, is unreachable or no longer has it.
+var errAgentLost = errors.New("agent unreachable or request not found at the agent")
 
-// tryAgents sends the request to agents until it is answered or must be given up.
-func (r *dispatch) tryAgents(ctx context.Context) (*wire.End, error) {
+// tryAgents sends the request to one agent after another until one answers, no
+// further retry is allowed or maxAttempts is reached.
+func (d *dispatch) tryAgents(ctx context.Context) (*wire.End, error) {
 	var last error
 	for n := 0; n < maxAttempts; n++ {
-		choice, ok := r.pickAgent()
+		choice, ok := d.pickAgent()
 		if !ok {
 			break
 		}
-		end, err := r.sendTo(ctx, choice)
-		r.recordEnd(choice.Name, err)
+		end, err := d.sendTo(ctx, choice)
+		d.recordEnd(choice.Name, err)
 		if err == nil {
 			return end, nil
 		}
 		last = err
-		r.ran = mergeRan(r.ran, apierr.From(err).Ran)
-		r.excluded[choice.Name] = true
-		if !r.canRetryElsewhere(ctx, err) {
-			return nil, r.finalError(err)
+		d.ran = mergeRan(d.ran, apierr.From(err).Ran)
+		d.excluded[choice.Name] = true
+		if !d.canRetryElsewhere(ctx, err) {
+			return nil, d.finalError(err)
 		}
 		if n > 0 {
 			sleepWithJitter(ctx, n)
 		}
 	}
 	if last != nil {
-		return nil, r.finalError(last)
+		return nil, d.finalError(last)
 	}
-	return nil, r.noTargetError()
+	return nil, d.noTargetError()
 }
 
-// noTargetError is the truth when no agent could be tried.
-func (r *dispatch) noTargetError() error {
-	if r.req.Service == "" && !r.e.modelExists(r.req.Model) {
-		return apierr.New(apierr.CodeUnknownModel, "no such model: %s", r.req.Model)
+// noTargetError returns the error for a request that no agent is eligible for.
+func (d *dispatch) noTargetError() error {
+	if d.req.Service == "" && !d.e.modelExists(d.req.Model) {
+		return apierr.New(apierr.CodeUnknownModel, "no such model: %s", d.req.Model)
 	}
 	return apierr.New(apierr.CodeNoTarget, "no target serves this now").After(time.Second)
 }
 
-// retryBaseDelay is the mean pause before the second retry; it doubles.
+// retryBaseDelay is the mean back-off before the second retry. It doubles with
+// each further retry.
 const retryBaseDelay = 5 * time.Millisecond
 
-// sleepWithJitter waits a random time, so that retries of many requests do not meet.
+// sleepWithJitter waits for a random time below retryBaseDelay * 2^n, so that many
+// requests do not retry at the same moment.
 func sleepWithJitter(ctx context.Context, n int) {
 	limit := retryBaseDelay << n
 	_ = wait.For(ctx, time.Duration(rand.Int64N(int64(limit))))
 }
 
-// canRetryElsewhere says whether a failure lets the request go to another agent.
-func (r *dispatch) canRetryElsewhere(ctx context.Context, err error) bool {
+// canRetryElsewhere reports whether the request may be sent to another agent
+// after err. It takes from the retry budget where a retry could add to an
+// overload.
+func (d *dispatch) canRetryElsewhere(ctx context.Context, err error) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -160,34 +169,36 @@
 		case apierr.CodeLeaving, apierr.CodeWrongIncarnation, apierr.CodeUnknownModel, apierr.CodeNotRun:
 			return true
 		case apierr.CodeOverloaded, apierr.CodeEngine:
-			return r.e.retryBudget.Take()
+			return d.e.retryBudget.Take()
 		}
 		return false
 	}
-	if r.req.NonIdempotent {
+	if d.req.NonIdempotent {
 		return false
 	}
 	lost := errors.Is(err, errAgentLost) || fail.Code == apierr.CodeEngine
-	return lost && r.e.retryBudget.Take()
+	return lost && d.e.retryBudget.Take()
 }
 
-// finalError turns the last failure into what the caller gets.
-func (r *dispatch) finalError(err error) error {
+// finalError converts the failure of the last attempt into the error for the
+// caller.
+func (d *dispatch) finalError(err error) error {
 	fail := *apierr.From(err)
 	if errors.Is(err, errAgentLost) && fail.Ran != wire.Ran_RAN_NO {
 		fail = *apierr.Unknown(apierr.CodeOutcomeUnknown, "the target was lost while it had the request")
 	}
-	// The last target may truly not have run it while an earlier one did. Without
-	// this the caller would be told "not run" after a run whose target was lost.
-	fail.Ran = mergeRan(r.ran, fail.Ran)
+	// Merge the outcomes of all attempts: the last target may not have run the
+	// request although an earlier one did. Otherwise the caller would be told
+	// "not run" after a run whose target was lost.
+	fail.Ran = mergeRan(d.ran, fail.Ran)
 	if fail.Code == apierr.CodeEngine && fail.Ran == wire.Ran_RAN_UNKNOWN {
 		fail.Code = apierr.CodeOutcomeUnknown
 	}
 	return &fail
 }
 
-// mergeRan joins what is known of two tries: one that ran outweighs one that may
-// have run, and that one outweighs one that did not.
+// mergeRan combines the outcomes of two attempts. "Ran" takes precedence over
+// "unknown", and "unknown" over "not run".
 func mergeRan(a, b wire.Ran) wire.Ran {
 	switch {
 	case a == wire.Ran_RAN_YES || b == wire.Ran_RAN_YES:
@@ -198,60 +209,63 @@
 	return wire.Ran_RAN_NO
 }
 
-// sendTo runs the request at one agent.
-func (r *dispatch) sendTo(ctx context.Context, c routing.Choice) (*wire.End, error) {
-	n := r.e.agent(c.Name)
+// sendTo sends the request to one agent and reads the answer to its end.
+func (d *dispatch) sendTo(ctx context.Context, c routing.Choice) (*wire.End, error) {
+	n := d.e.agent(c.Name)
 	if n == nil {
 		return nil, apierr.New(apierr.CodeNotRun, "agent is gone")
 	}
 	start := &wire.Start{
-		Id:               r.req.ID[:],
-		Workspace:        r.req.Workspace,
+		Id:               d.req.ID[:],
+		Workspace:        d.req.Workspace,
 		Class:            "online",
-		Model:            r.req.Model,
-		Service:          r.req.Service,
-		Method:           r.req.Method,
-		Path:             r.req.Path,
-		Body:             r.req.Body,
-		Prompt:           r.req.Prompt,
-		MaxTokens:        r.req.MaxTokens,
-		TimeoutMs:        time.Until(r.req.Deadline).Milliseconds(),
-		NonIdempotent:    r.req.NonIdempotent,
-		ResumeFrom:       r.deliveredTokens,
+		Model:            d.req.Model,
+		Service:          d.req.Service,
+		Method:           d.req.Method,
+		Path:             d.req.Path,
+		Body:             d.req.Body,
+		Prompt:           d.req.Prompt,
+		MaxTokens:        d.req.MaxTokens,
+		TimeoutMs:        time.Until(d.req.Deadline).Milliseconds(),
+		NonIdempotent:    d.req.NonIdempotent,
+		ResumeFrom:       d.deliveredTokens,
 		AgentIncarnation: []byte(c.Incarnation),
-		KeepAnswer:       r.req.Key != "",
-		Weight:           r.req.Weight,
+		KeepAnswer:       d.req.Key != "",
+		Weight:           d.req.Weight,
 	}
-	at := &answerReader{dispatch: r, node: n, incarnation: []byte(c.Incarnation), assembler: online.NewAssembler(r.req.ID[:]), id: r.req.ID[:]}
-	return at.readToEnd(ctx, &wire.Call{Kind: &wire.Call_Start{Start: start}})
+	reader := &answerReader{dispatch: d, node: n, incarnation: []byte(c.Incarnation), assembler: online.NewAssembler(d.req.ID[:]), id: d.req.ID[:]}
+	return reader.readToEnd(ctx, &wire.Call{Kind: &wire.Call_Start{Start: start}})
 }
 
-// answerReader follows one answer at one agent through lost connections.
+// answerReader reads the answer to one request from one agent. It reattaches when
+// the connection is lost.
 type answerReader struct {
 	dispatch    *dispatch
 	node        *node
 	id          []byte
-	incarnation []byte // incarnation of the agent that the request is meant for
+	incarnation []byte // expected incarnation of the agent
 	assembler   *online.Assembler
-	// shared says that the request belongs to another call of the same caller;
-	// leaving it must not stop it.
+	// shared is set if the request was started by another call with the same
+	// idempotency key. Ending this reader must then not revoke the request.
 	shared bool
 }
 
-// readToEnd opens the answer with call and reads it to its end.
+// readToEnd opens a stream with call and reads the answer to its end. After a lost
+// connection it reattaches from the next frame, until no frame has arrived for
+// ReattachTimeout, or ResumeTimeout if the request is idempotent.
 func (a *answerReader) readToEnd(ctx context.Context, call *wire.Call) (*wire.End, error) {
 	lostAt := time.Time{}
-	patience := a.dispatch.e.cfg.ReattachTimeout
+	reattachTimeout := a.dispatch.e.cfg.ReattachTimeout
 	if !a.dispatch.req.NonIdempotent {
-		patience = a.dispatch.e.cfg.ResumeTimeout
+		reattachTimeout = a.dispatch.e.cfg.ResumeTimeout
 	}
 	for {
-		before := a.assembler.Next()
+		nextSeq := a.assembler.Next()
 		err := a.readStream(ctx, call)
 		if end := a.assembler.End(); end != nil {
 			return end, nil
 		}
-		if a.assembler.Next() != before {
+		if a.assembler.Next() != nextSeq {
 			lostAt = time.Time{}
 		}
 		var fail *apierr.Error
@@ -264,28 +278,29 @@
 		if ctx.Err() != nil {
 			return nil, a.abort(ctx)
 		}
-		var unsent *link.DialError
-		if call.GetStart() != nil && errors.As(err, &unsent) {
+		var dialErr *link.DialError
+		if call.GetStart() != nil && errors.As(err, &dialErr) {
 			return nil, errors.Mark(apierr.New(apierr.CodeNotRun, "target not reached"), errAgentLost)
 		}
 		if lostAt.IsZero() {
 			lostAt = time.Now()
 		}
-		if time.Since(lostAt) > patience {
+		if time.Since(lostAt) > reattachTimeout {
 			return nil, errors.Mark(apierr.Unknown(apierr.CodeOutcomeUnknown, "target not reached"), errAgentLost)
 		}
-		if !lostAt.IsZero() && a.assembler.Next() == before {
+		if !lostAt.IsZero() && a.assembler.Next() == nextSeq {
 			_ = wait.For(ctx, reattachDelay)
 		}
 		call = &wire.Call{Kind: &wire.Call_Attach{Attach: &wire.Attach{Id: a.id, FromSeq: a.assembler.Next()}}}
 	}
 }
 
-// reattachDelay is the wait between two tries to reach an agent.
+// reattachDelay is the pause between two attempts to reattach to an answer.
 const reattachDelay = 20 * time.Millisecond
 
-// readStream opens one stream and takes frames until the answer ends or the stream
-// breaks. Failures with a type end the request; others are worth another stream.
+// readStream opens one stream and reads frames until the answer ends or the
+// stream breaks. A returned *apierr.Error ends the request; after any other error
+// the caller may open another stream.
 func (a *answerReader) readStream(ctx context.Context, call *wire.Call) error {
 	st, err := a.node.peer.Open(ctx, link.Online, call)
 	if err != nil {
@@ -300,7 +315,7 @@
 			return err
 		}
 		if fail := f.GetFailure(); fail.GetCode() == string(apierr.CodeUnknownRequest) {
-			// Not part of the answer's sequence.
+			// This failure has no sequence number, so it bypasses the assembler.
 			return apierr.FromWire(fail)
 		}
 		pieces, err := a.assembler.Take(f)
@@ -326,6 +341,7 @@
 	return a.dispatch.sink(p)
 }
 
+// cancelForCaller revokes the request after the caller has disconnected.
 func (a *answerReader) cancelForCaller() error {
 	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
@@ -333,11 +349,11 @@
 	return &apierr.Error{Code: apierr.CodeCancelled, Message: "the caller hung up", Ran: ran}
 }
 
-// revokeTimeout bounds the call that gives a request up at its agent.
+// revokeTimeout is the time limit of the call that revokes a request at its agent.
 const revokeTimeout = time.Second
 
-// revoke gives the request up at the agent and returns whether it ran. Unknown
-// means that the agent could not be asked.
+// revoke cancels the request at the agent and returns whether it ran. The result
+// is RAN_UNKNOWN if the request is shared or the agent does not answer.
 func (a *answerReader) revoke(ctx context.Context) wire.Ran {
 	if a.shared {
 		return wire.Ran_RAN_UNKNOWN
@@ -350,20 +366,21 @@
 	return reply.GetRan()
 }
 
-// abort ends a request whose deadline passed or whose caller hung up.
+// abort revokes a request whose deadline has passed or whose caller has
+// disconnected, and returns the error for it.
 func (a *answerReader) abort(ctx context.Context) error {
-	short, cancel := context.WithTimeout(context.Background(), revokeTimeout)
+	revokeCtx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
-	ran := a.revoke(short)
+	ran := a.revoke(revokeCtx)
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return &apierr.Error{Code: apierr.CodeDeadline, Message: "the deadline passed", Ran: ran}
 	}
 	return &apierr.Error{Code: apierr.CodeCancelled, Message: "the caller hung up", Ran: ran}
 }
 
-// resolveUnknown finds the truth about a request that the agent does not know: the
-// start was lost on its way, or the agent was restarted. The revoke leaves a
-// tombstone, so that a late copy of the start cannot run.
+// resolveUnknown determines whether a request ran that the agent does not know:
+// its start was lost in transit, or the agent was restarted. The revoke leaves a
+// tombstone at the agent, so that a delayed copy of the start cannot run.
 func (a *answerReader) resolveUnknown(ctx context.Context) error {
 	if a.assembler.Next() > 0 {
 		return errors.Mark(apierr.Executed(apierr.CodeOutcomeUnknown, "target lost the answer"), errAgentLost)
--- a/entry/online_fault_test.go
+++ b/entry/online_fault_test.go
@@ -17,7 +17,7 @@
 	"pumiceford/wire"
 )
 
-// testCall is one caller's request and what it was told.
+// testCall is a caller's request with the response that the caller got.
 type testCall struct {
 	id            uuid.UUID
 	prompt        string
@@ -26,7 +26,7 @@
 	nonIdempotent bool
 	key           string
 	got           strings.Builder
-	mismatched    bool // a piece did not continue the answer
+	mismatched    bool // the text received is not a prefix of the expected answer
 	err           *apierr.Error
 	done          bool
 }
@@ -38,10 +38,10 @@
 	return standin.AnswerText(c.prompt, c.tokens)
 }
 
-// sendCall runs a request through an entry and notes what the caller sees.
-func (w *testCluster) sendCall(c *testCall, through int) {
+// sendCall sends a request through entry via and records the response.
+func (tc *testCluster) sendCall(c *testCall, via int) {
 	defer func() { c.done = true }()
-	e := w.runningEntry(through)
+	e := tc.runningEntry(via)
 	if e == nil {
 		c.err = apierr.New(apierr.CodeNotRun, "no entry")
 		return
@@ -53,7 +53,7 @@
 	if c.service {
 		req.Service, req.Method, req.Path, req.Body = "stamps", "POST", "/stamp", []byte(c.prompt)
 	}
-	ctx, cancel := context.WithCancel(w.ctx)
+	ctx, cancel := context.WithCancel(tc.ctx)
 	defer cancel()
 	_, err := e.Do(ctx, req, func(p *wire.Piece) error {
 		c.got.Write(p.GetText())
@@ -65,52 +65,53 @@
 	}
 }
 
-// countCallRuns counts how often a request reached an engine or the service.
-func (w *testCluster) countCallRuns(c *testCall) int {
+// countCallRuns returns how often a request ran on an engine or the service.
+func (tc *testCluster) countCallRuns(c *testCall) int {
 	if c.service {
-		return w.service.Calls(c.prompt)
+		return tc.service.Calls(c.prompt)
 	}
 	n := 0
-	for _, e := range w.engines {
+	for _, e := range tc.engines {
 		n += e.Runs(hex.EncodeToString(c.id[:]))
 	}
 	return n
 }
 
-// checkCall compares what a caller was told with what happened.
-func (w *testCluster) checkCall(c *testCall) error {
-	runs := w.countCallRuns(c)
+// checkCall compares the response to a caller with what actually ran.
+func (tc *testCluster) checkCall(c *testCall) error {
+	runs := tc.countCallRuns(c)
 	switch {
 	case !c.done:
 		return fmt.Errorf("request %s has no answer", c.prompt)
 	case c.mismatched:
-		return fmt.Errorf("request %s got %q, which does not begin %q", c.prompt, c.got.String(), c.want())
+		return fmt.Errorf("request %s got %q, which is not a prefix of %q", c.prompt, c.got.String(), c.want())
 	case c.err == nil && c.got.String() != c.want():
-		return fmt.Errorf("request %s ended well with %d of %d bytes", c.prompt, c.got.Len(), len(c.want()))
+		return fmt.Errorf("request %s succeeded with %d of %d bytes", c.prompt, c.got.Len(), len(c.want()))
 	case c.nonIdempotent && runs > 1:
 		return fmt.Errorf("non-idempotent request %s ran %d times", c.prompt, runs)
 	case c.err != nil && c.err.Ran == wire.Ran_RAN_NO && runs > 0:
-		return fmt.Errorf("request %s was told as not run (%w) and ran %d times", c.prompt, c.err, runs)
+		return fmt.Errorf("request %s was reported as not run (%w) but ran %d times", c.prompt, c.err, runs)
 	case c.err != nil && c.err.Ran == wire.Ran_RAN_YES && runs == 0:
-		return fmt.Errorf("request %s was told as run (%w) and never ran", c.prompt, c.err)
+		return fmt.Errorf("request %s was reported as run (%w) but never ran", c.prompt, c.err)
 	}
 	return nil
 }
 
 var onlineStepKinds = []string{
-	"ask", "ask", "ask", "ask once", "ask once", "stamp", "keyed stamp", "resend",
+	"ask", "ask", "ask", "non-idempotent ask", "non-idempotent ask", "stamp", "keyed stamp", "resend",
 	"kill entry", "restart entry", "pause entry", "resume entry",
 	"kill agent", "restart agent", "pause agent", "resume agent", "crash engine", "silence", "silence",
-	"leave agent", "log down", "log up", "lose answers",
+	"drain agent", "log down", "log up", "lose answers",
 }
 
-// runOnlineScenario plays drawn steps with callers beside them.
+// runOnlineScenario applies steps while callers send requests, and checks every
+// response.
 func runOnlineScenario(t *testing.T, steps []step) error {
 	var failure error
 	runInBubble(t, func(*testing.T) {
-		w := newTestCluster(clusterSettings{entries: 2, agents: 3, partitions: 2, snapshotEvery: 100, hostLag: 300 * time.Millisecond})
-		defer w.close()
-		if failure = eventually(time.Minute, func() error { return w.configureModel(w.ctx) }); failure != nil {
+		tc := newTestCluster(clusterSettings{entries: 2, agents: 3, partitions: 2, snapshotEvery: 100, hostLag: 300 * time.Millisecond})
+		defer tc.close()
+		if failure = eventually(time.Minute, func() error { return tc.configureModel(tc.ctx) }); failure != nil {
 			return
 		}
 		time.Sleep(time.Second)
@@ -118,18 +119,18 @@
 		var wg sync.WaitGroup
 		for _, s := range steps {
 			time.Sleep(s.After)
-			if c := w.newCall(s, calls); c != nil {
+			if c := tc.newCall(s, calls); c != nil {
 				calls = append(calls, c)
-				wg.Go(func() { w.sendCall(c, s.A) })
+				wg.Go(func() { tc.sendCall(c, s.A) })
 				continue
 			}
-			w.applyOnlineStep(s)
+			tc.applyOnlineStep(s)
 		}
-		w.clearFaults()
+		tc.clearFaults()
 		wg.Wait()
 		time.Sleep(10 * time.Second)
 		for _, c := range calls {
-			if failure = w.checkCall(c); failure != nil {
+			if failure = tc.checkCall(c); failure != nil {
 				return
 			}
 		}
@@ -137,20 +138,20 @@
 	return failure
 }
 
-// newCall makes the request of a step, nil when the step is a fault.
-func (w *testCluster) newCall(s step, calls []*testCall) *testCall {
+// newCall returns the request of a step, or nil if the step injects a fault.
+func (tc *testCluster) newCall(s step, calls []*testCall) *testCall {
 	n := len(calls)
 	c := &testCall{id: uuid.New(), prompt: fmt.Sprintf("question %d", n), tokens: uint32(1 + 20*s.B)}
 	switch s.Kind {
 	case "ask":
-	case "ask once":
+	case "non-idempotent ask":
 		c.nonIdempotent = true
 	case "stamp":
 		c.service, c.nonIdempotent = true, true
 	case "keyed stamp":
 		c.service, c.nonIdempotent, c.key = true, true, c.prompt
 	case "resend":
-		// The caller sends a keyed request once more, through whichever entry.
+		// The caller retries a keyed request, through any entry.
 		for _, old := range calls {
 			if old.key != "" {
 				c.service, c.nonIdempotent, c.key, c.prompt, c.tokens = true, true, old.key, old.prompt, old.tokens
@@ -164,43 +165,43 @@
 	return c
 }
 
-func (w *testCluster) applyOnlineStep(s step) {
-	name := agentName(s.A % w.settings.agents)
+func (tc *testCluster) applyOnlineStep(s step) {
+	name := agentName(s.A % tc.settings.agents)
 	switch s.Kind {
 	case "pause agent":
-		if a := w.agents[name]; a != nil {
+		if a := tc.agents[name]; a != nil {
 			a.host.pause()
 		}
 	case "resume agent":
-		if a := w.agents[name]; a != nil {
+		if a := tc.agents[name]; a != nil {
 			a.host.resume()
 		}
-	case "leave agent":
-		a := w.agents[name]
+	case "drain agent":
+		a := tc.agents[name]
 		if a == nil {
 			return
 		}
-		delete(w.agents, name)
+		delete(tc.agents, name)
 		a.host.resume()
-		w.wg.Go(func() {
-			ctx, cancel := context.WithTimeout(w.ctx, 30*time.Second)
+		tc.wg.Go(func() {
+			ctx, cancel := context.WithTimeout(tc.ctx, 30*time.Second)
 			defer cancel()
 			a.Leave(ctx)
 			time.Sleep(200 * time.Millisecond)
-			w.net.detach(a.host)
+			tc.net.detach(a.host)
 			a.cancel()
 		})
 	default:
 		var none []*testJob
-		w.applyStep(s, &none)
+		tc.applyStep(s, &none)
 	}
 }
 
-// Symptom of every fault caught here: a caller gets another's bytes, a truncated
-// answer that looks whole, "not run" for a request that ran, or a second run of a
-// request that may run once. The sequence is drawn: hosts killed, paused and
-// leaving, engines that crash, connections that go silent, resends through the
-// other entry, log outages.
+// Guards against responses with another caller's data, truncated answers that
+// look complete, "not run" for a request that ran, and second runs of
+// non-idempotent requests. The random faults are killed, paused and draining
+// hosts, engine crashes, connections that discard all data, retries through the
+// other entry and log outages.
 func TestOnlineRequestsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := drawSteps(rt, onlineStepKinds, 2, 25)
--- a/entry/world_test.go
+++ b/entry/world_test.go
@@ -24,9 +24,9 @@
 	"pumiceford/standin"
 )
 
-// testCluster holds entries and agents in one process on pipes, with faults at the
-// interfaces: connections, the log, the host list and the engines. It is driven
-// in virtual time.
+// testCluster runs entries and agents in one process, connected by in-memory
+// pipes and in virtual time. It can inject faults into connections, the log, the
+// host list and the engines.
 type testCluster struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -49,7 +49,7 @@
 	log             standin.LogSettings
 	snapshotEvery   uint64
 	hostLag         time.Duration
-	retention       time.Duration // as the ledger knows it
+	retention       time.Duration // retention of the log according to the ledger's settings
 }
 
 type testEntry struct {
@@ -66,7 +66,7 @@
 
 const testModel = "fitting-3b"
 
-// verbose logs what entries do, for looking at one story.
+// verbose enables debug logs of the entries, for debugging a single scenario.
 var verbose = false
 
 func testLogger() logging.Logger {
@@ -77,9 +77,9 @@
 }
 
 func newTestCluster(set clusterSettings) *testCluster {
-	ctx, end := context.WithCancel(context.Background())
-	w := &testCluster{
-		ctx: ctx, cancel: end, settings: set,
+	ctx, cancel := context.WithCancel(context.Background())
+	tc := &testCluster{
+		ctx: ctx, cancel: cancel, settings: set,
 		log:     standin.NewLog(set.log),
 		hosts:   standin.NewHostList(set.hostLag),
 		net:     &pipeNet{hosts: make(map[string]*pipeHost)},
@@ -90,112 +90,114 @@
 	}
 	for n := range set.agents {
 		name := agentName(n)
-		w.engines[name] = standin.NewEngine(ctx, standin.EngineSettings{Models: []string{testModel}, StepBase: 5 * time.Millisecond, MaxRunning: 4})
-		w.startAgent(name)
+		tc.engines[name] = standin.NewEngine(ctx, standin.EngineSettings{Models: []string{testModel}, StepBase: 5 * time.Millisecond, MaxRunning: 4})
+		tc.startAgent(name)
 	}
 	for n := range set.entries {
-		w.startEntry(entryName(n))
+		tc.startEntry(entryName(n))
 	}
-	return w
+	return tc
 }
 
 func entryName(n int) string { return fmt.Sprintf("entry-%d", n) }
 func agentName(n int) string { return fmt.Sprintf("agent-%d", n) }
 
-func (w *testCluster) linkConfig(h *pipeHost) link.Config {
+func (tc *testCluster) linkConfig(h *pipeHost) link.Config {
 	return link.Config{
 		HeartbeatEvery: 200 * time.Millisecond,
 		SilentAfter:    time.Second,
-		Dial:           func(ctx context.Context, addr string) (net.Conn, error) { return w.net.dial(ctx, h, addr) },
+		Dial:           func(ctx context.Context, addr string) (net.Conn, error) { return tc.net.dial(ctx, h, addr) },
 	}
 }
 
-func (w *testCluster) startAgent(name string) {
-	ctx, kill := context.WithCancel(w.ctx)
-	host := w.net.addHost(name)
+func (tc *testCluster) startAgent(name string) {
+	ctx, cancel := context.WithCancel(tc.ctx)
+	host := tc.net.addHost(name)
 	inc := oplog.NewIncarnation()
 	a := agent.New(ctx, agent.Config{
-		Name: name, DataCentre: "caerdydd-a", Incarnation: inc, Engine: w.engines[name],
-		Services:  map[string]agent.Service{"stamps": w.service},
+		Name: name, DataCentre: "caerdydd-a", Incarnation: inc, Engine: tc.engines[name],
+		Services:  map[string]agent.Service{"stamps": tc.service},
 		Admission: admission.Settings{Seats: 4, Harm: 0.1},
 	})
-	cfg := w.linkConfig(host)
+	cfg := tc.linkConfig(host)
 	cfg.Node, cfg.Incarnation, cfg.Status, cfg.Handle = name, inc, a.Status, a.Handle
-	w.wg.Go(func() { _ = link.Serve(ctx, host, cfg) })
-	w.agents[name] = &testAgent{Agent: a, cancel: kill, host: host}
-	w.hosts.Put(infra.Host{Name: name, Role: infra.RoleAgent, Addr: name, DataCentre: "caerdydd-a"})
+	tc.wg.Go(func() { _ = link.Serve(ctx, host, cfg) })
+	tc.agents[name] = &testAgent{Agent: a, cancel: cancel, host: host}
+	tc.hosts.Put(infra.Host{Name: name, Role: infra.RoleAgent, Addr: name, DataCentre: "caerdydd-a"})
 }
 
-func (w *testCluster) startEntry(name string) {
-	ctx, kill := context.WithCancel(w.ctx)
-	host := w.net.addHost(name)
+func (tc *testCluster) startEntry(name string) {
+	ctx, cancel := context.WithCancel(tc.ctx)
+	host := tc.net.addHost(name)
 	e := New(Config{
 		Name: name, DataCentre: "caerdydd-a", Incarnation: oplog.NewIncarnation(),
-		Log: &pausableLog{log: w.log, host: host}, HostList: &pausableHostList{list: w.hosts, host: host}, Link: w.linkConfig(host),
+		Log: &pausableLog{log: tc.log, host: host}, HostList: &pausableHostList{list: tc.hosts, host: host}, Link: tc.linkConfig(host),
 		Bootstrap:        config.Operator{Name: "dev", Scope: config.ScopeFleet},
 		HostListInterval: 200 * time.Millisecond,
 		Logger:           testLogger(),
 		Ledger: ledger.Config{
-			Partitions: w.settings.partitions, ResultsEvery: 100 * time.Millisecond, SnapshotEvery: w.settings.snapshotEvery, Retention: w.settings.retention,
+			Partitions: tc.settings.partitions, ResultsEvery: 100 * time.Millisecond, SnapshotEvery: tc.settings.snapshotEvery, Retention: tc.settings.retention,
 			Limits: batch.Limits{MaxAttempts: 4, MaxTargetLoss: 2, BackoffBase: 50 * time.Millisecond, BackoffMax: time.Second},
 		},
 	})
-	w.wg.Go(func() { _ = e.Run(ctx, host) })
-	w.mu.Lock()
-	w.entries[name] = &testEntry{Entry: e, cancel: kill, host: host}
-	w.mu.Unlock()
-	w.hosts.Put(hostOf(name))
-}
-
-// killEntry loses a host at once: its connections end before its code can say
-// anything, and the list drops it.
-func (w *testCluster) killEntry(name string) {
-	w.mu.Lock()
-	e := w.entries[name]
-	delete(w.entries, name)
-	w.mu.Unlock()
+	tc.wg.Go(func() { _ = e.Run(ctx, host) })
+	tc.mu.Lock()
+	tc.entries[name] = &testEntry{Entry: e, cancel: cancel, host: host}
+	tc.mu.Unlock()
+	tc.hosts.Put(hostOf(name))
+}
+
+// killEntry simulates the sudden loss of a host: its connections are closed
+// before the entry is stopped, so that it cannot send anything more, and it
+// leaves the host list.
+func (tc *testCluster) killEntry(name string) {
+	tc.mu.Lock()
+	e := tc.entries[name]
+	delete(tc.entries, name)
+	tc.mu.Unlock()
 	if e == nil {
 		return
 	}
-	w.net.removeHost(name)
+	tc.net.removeHost(name)
 	e.cancel()
-	w.hosts.Remove(name)
+	tc.hosts.Remove(name)
 }
 
-func (w *testCluster) killAgent(name string) {
-	a := w.agents[name]
+func (tc *testCluster) killAgent(name string) {
+	a := tc.agents[name]
 	if a == nil {
 		return
 	}
-	delete(w.agents, name)
-	w.net.removeHost(name)
+	delete(tc.agents, name)
+	tc.net.removeHost(name)
 	a.cancel()
 }
 
-// runningEntry returns a running entry, preferring one.
-func (w *testCluster) runningEntry(n int) *testEntry {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for i := range w.settings.entries {
-		if e := w.entries[entryName((n+i)%w.settings.entries)]; e != nil && !e.host.isPaused() {
+// runningEntry returns entry n, or the next one that is running and not paused. It
+// returns nil if there is none.
+func (tc *testCluster) runningEntry(n int) *testEntry {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	for i := range tc.settings.entries {
+		if e := tc.entries[entryName((n+i)%tc.settings.entries)]; e != nil && !e.host.isPaused() {
 			return e
 		}
 	}
 	return nil
 }
 
-func (w *testCluster) close() {
-	w.net.resumeAll()
-	w.cancel()
-	w.net.closeAll()
-	w.wg.Wait()
-	// Virtual time stands still once the test function has returned; timers of
-	// what is winding down must fire before.
+func (tc *testCluster) close() {
+	tc.net.resumeAll()
+	tc.cancel()
+	tc.net.closeAll()
+	tc.wg.Wait()
+	// Virtual time stops when the test function returns. The timers of goroutines
+	// that are still shutting down must fire before that.
 	time.Sleep(time.Minute)
 }
 
-// pausableLog stops answering while its host is paused, before and after the call,
-// so that an append may take effect while its caller sleeps.
+// pausableLog blocks while its host is paused, both before and after each call,
+// so that an append can take effect while its caller is paused.
 type pausableLog struct {
 	log  infra.Log
 	host *pipeHost
@@ -215,7 +217,7 @@
 	return p, err
 }
 
-// pausableHostList does not answer while its host is paused.
+// pausableHostList blocks while its host is paused.
 type pausableHostList struct {
 	list infra.HostList
 	host *pipeHost
@@ -226,13 +228,13 @@
 	return g.list.Hosts(ctx)
 }
 
-// pipeNet connects hosts by pipes.
+// pipeNet is a network that connects hosts by in-memory pipes.
 type pipeNet struct {
 	mu    sync.Mutex
 	hosts map[string]*pipeHost
 }
 
-// pipeHost is a host's listener and the switch of its faults.
+// pipeHost is the listener of a host. It can pause the host.
 type pipeHost struct {
 	name string
 
@@ -240,7 +242,7 @@
 	conns   map[*pipeConn]struct{}
 	accept  chan net.Conn
 	closed  chan struct{}
-	resumed chan struct{} // closed when not paused
+	resumed chan struct{} // closed while the host is not paused
 	paused  bool
 }
 
@@ -269,7 +271,8 @@
 	}
 }
 
-// detach takes a host off the network, unless another of its name took its place.
+// detach removes a host from the network and closes its connections. A newer host
+// with the same name stays.
 func (n *pipeNet) detach(h *pipeHost) {
 	n.mu.Lock()
 	if n.hosts[h.name] == h {
@@ -296,8 +299,8 @@
 	}
 }
 
-// silenceConns makes the open connections between two hosts silent for good. New
-// ones work.
+// silenceConns makes the open connections between hosts a and b discard all data
+// from now on, without closing them. New connections work.
 func (n *pipeNet) silenceConns(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -320,11 +323,11 @@
 		return nil, errPipeDown
 	}
 	a, b := net.Pipe()
-	quiet := make(chan struct{})
+	silent := make(chan struct{})
 	var once sync.Once
-	mute := func() { once.Do(func() { close(quiet) }) }
-	near := &pipeConn{Conn: a, host: from, peer: addr, silent: quiet, setSilent: mute, closed: make(chan struct{})}
-	far := &pipeConn{Conn: b, host: to, peer: from.name, silent: quiet, setSilent: mute, closed: make(chan struct{})}
+	setSilent := func() { once.Do(func() { close(silent) }) }
+	near := &pipeConn{Conn: a, host: from, peer: addr, silent: silent, setSilent: setSilent, closed: make(chan struct{})}
+	far := &pipeConn{Conn: b, host: to, peer: from.name, silent: silent, setSilent: setSilent, closed: make(chan struct{})}
 	select {
 	case to.accept <- far:
 	case <-to.closed:
@@ -418,7 +421,7 @@
 	net.Conn
 	host      *pipeHost
 	peer      string
-	silent    chan struct{} // closed when the connection is silent
+	silent    chan struct{} // closed once the connection discards all data
 	setSilent func()
 
 	once   sync.Once
@@ -473,9 +476,10 @@
 	return infra.Host{Name: name, Role: infra.RoleEntry, Addr: name, DataCentre: "caerdydd-a"}
 }
 
-// runInBubble runs f in virtual time. yamux keeps timers in a pool of the whole
-// process, and a timer of one bubble must not be used in another: two collections
-// empty the pool. Tests in bubbles therefore never run in parallel.
+// runInBubble runs f in a synctest bubble, in virtual time. yamux keeps timers in
+// a process-wide sync.Pool, and a timer of one bubble must not be used in
+// another. Two garbage collections empty the pool. For the same reason, tests in
+// bubbles never run in parallel.
 func runInBubble(t *testing.T, f func(*testing.T)) {
 	t.Helper()
 	runtime.GC()
