--- a/entry/world_test.go
+++ b/entry/world_test.go
@@ -24,224 +24,226 @@
 	"pumiceford/standin"
 )
 
-// world holds entries and agents in one process on pipes, with faults at the
-// interfaces: connections, the log, the host list and the engines. It is driven
-// in virtual time.
-type world struct {
-	ctx   context.Context
-	end   context.CancelFunc
-	log   *standin.Log
-	hosts *standin.HostList
-	net   *pipeNet
-
-	mu      sync.Mutex
-	entries map[string]*worldEntry
-	agents  map[string]*worldAgent
-	engines map[string]*standin.Engine
-	service *standin.Service
-	set     worldSettings
-	wg      sync.WaitGroup
-}
-
-type worldSettings struct {
+// testCluster runs entries and agents in one process, connected by in-memory
+// pipes and in virtual time. It can inject faults into connections, the log, the
+// host list and the engines.
+type testCluster struct {
+	ctx    context.Context
+	cancel context.CancelFunc
+	log    *standin.Log
+	hosts  *standin.HostList
+	net    *pipeNet
+
+	mu       sync.Mutex
+	entries  map[string]*testEntry
+	agents   map[string]*testAgent
+	engines  map[string]*standin.Engine
+	service  *standin.Service
+	settings clusterSettings
+	wg       sync.WaitGroup
+}
+
+type clusterSettings struct {
 	entries, agents int
 	partitions      uint32
 	log             standin.LogSettings
 	snapshotEvery   uint64
 	hostLag         time.Duration
-	retention       time.Duration // as the ledger knows it
+	retention       time.Duration // retention of the log according to the ledger's settings
 }
 
-type worldEntry struct {
+type testEntry struct {
 	*Entry
-	kill context.CancelFunc
-	host *pipeHost
+	cancel context.CancelFunc
+	host   *pipeHost
 }
 
-type worldAgent struct {
+type testAgent struct {
 	*agent.Agent
-	kill context.CancelFunc
-	host *pipeHost
+	cancel context.CancelFunc
+	host   *pipeHost
 }
 
-const worldModel = "fitting-3b"
+const testModel = "fitting-3b"
 
-// verbose logs what entries do, for looking at one story.
+// verbose enables debug logs of the entries, for debugging a single scenario.
 var verbose = false
 
-func worldLogger() logging.Logger {
+func testLogger() logging.Logger {
 	if !verbose {
 		return logging.Logger{}
 	}
 	return logging.New(logging.Settings{Level: "debug"})
 }
 
-func newWorld(set worldSettings) *world {
-	ctx, end := context.WithCancel(context.Background())
-	w := &world{
-		ctx: ctx, end: end, set: set,
+func newTestCluster(set clusterSettings) *testCluster {
+	ctx, cancel := context.WithCancel(context.Background())
+	tc := &testCluster{
+		ctx: ctx, cancel: cancel, settings: set,
 		log:     standin.NewLog(set.log),
 		hosts:   standin.NewHostList(set.hostLag),
 		net:     &pipeNet{hosts: make(map[string]*pipeHost)},
-		entries: make(map[string]*worldEntry),
-		agents:  make(map[string]*worldAgent),
+		entries: make(map[string]*testEntry),
+		agents:  make(map[string]*testAgent),
 		engines: make(map[string]*standin.Engine),
 		service: &standin.Service{Delay: 20 * time.Millisecond},
 	}
 	for n := range set.agents {
 		name := agentName(n)
-		w.engines[name] = standin.NewEngine(ctx, standin.EngineSettings{Models: []string{worldModel}, StepBase: 5 * time.Millisecond, MaxRunning: 4})
-		w.startAgent(name)
+		tc.engines[name] = standin.NewEngine(ctx, standin.EngineSettings{Models: []string{testModel}, StepBase: 5 * time.Millisecond, MaxRunning: 4})
+		tc.startAgent(name)
 	}
 	for n := range set.entries {
-		w.startEntry(entryName(n))
+		tc.startEntry(entryName(n))
 	}
-	return w
+	return tc
 }
 
 func entryName(n int) string { return fmt.Sprintf("entry-%d", n) }
 func agentName(n int) string { return fmt.Sprintf("agent-%d", n) }
 
-func (w *world) linkConfig(h *pipeHost) link.Config {
+func (tc *testCluster) linkConfig(h *pipeHost) link.Config {
 	return link.Config{
 		HeartbeatEvery: 200 * time.Millisecond,
 		SilentAfter:    time.Second,
-		Dial:           func(ctx context.Context, addr string) (net.Conn, error) { return w.net.dial(ctx, h, addr) },
+		Dial:           func(ctx context.Context, addr string) (net.Conn, error) { return tc.net.dial(ctx, h, addr) },
 	}
 }
 
-func (w *world) startAgent(name string) {
-	ctx, kill := context.WithCancel(w.ctx)
-	host := w.net.up(name)
+func (tc *testCluster) startAgent(name string) {
+	ctx, cancel := context.WithCancel(tc.ctx)
+	host := tc.net.addHost(name)
 	inc := oplog.NewIncarnation()
 	a := agent.New(ctx, agent.Config{
-		Name: name, DataCentre: "caerdydd-a", Incarnation: inc, Engine: w.engines[name],
-		Services:  map[string]agent.Service{"stamps": w.service},
+		Name: name, DataCentre: "caerdydd-a", Incarnation: inc, Engine: tc.engines[name],
+		Services:  map[string]agent.Service{"stamps": tc.service},
 		Admission: admission.Settings{Seats: 4, Harm: 0.1},
 	})
-	cfg := w.linkConfig(host)
+	cfg := tc.linkConfig(host)
 	cfg.Node, cfg.Incarnation, cfg.Status, cfg.Handle = name, inc, a.Status, a.Handle
-	w.wg.Go(func() { _ = link.Serve(ctx, host, cfg) })
-	w.agents[name] = &worldAgent{Agent: a, kill: kill, host: host}
-	w.hosts.Put(infra.Host{Name: name, Role: infra.RoleAgent, Addr: name, DataCentre: "caerdydd-a"})
+	tc.wg.Go(func() { _ = link.Serve(ctx, host, cfg) })
+	tc.agents[name] = &testAgent{Agent: a, cancel: cancel, host: host}
+	tc.hosts.Put(infra.Host{Name: name, Role: infra.RoleAgent, Addr: name, DataCentre: "caerdydd-a"})
 }
 
-func (w *world) startEntry(name string) {
-	ctx, kill := context.WithCancel(w.ctx)
-	host := w.net.up(name)
+func (tc *testCluster) startEntry(name string) {
+	ctx, cancel := context.WithCancel(tc.ctx)
+	host := tc.net.addHost(name)
 	e := New(Config{
 		Name: name, DataCentre: "caerdydd-a", Incarnation: oplog.NewIncarnation(),
-		Log: &gatedLog{log: w.log, host: host}, HostList: &gatedHosts{list: w.hosts, host: host}, Link: w.linkConfig(host),
-		Bootstrap:  config.Operator{Name: "dev", Scope: config.ScopeFleet},
-		HostsEvery: 200 * time.Millisecond,
-		Logger:     worldLogger(),
+		Log: &pausableLog{log: tc.log, host: host}, HostList: &pausableHostList{list: tc.hosts, host: host}, Link: tc.linkConfig(host),
+		Bootstrap:        config.Operator{Name: "dev", Scope: config.ScopeFleet},
+		HostListInterval: 200 * time.Millisecond,
+		Logger:           testLogger(),
 		Ledger: ledger.Config{
-			Partitions: w.set.partitions, ResultsEvery: 100 * time.Millisecond, SnapshotEvery: w.set.snapshotEvery, Retention: w.set.retention,
+			Partitions: tc.settings.partitions, ResultsEvery: 100 * time.Millisecond, SnapshotEvery: tc.settings.snapshotEvery, Retention: tc.settings.retention,
 			Limits: batch.Limits{MaxAttempts: 4, MaxTargetLoss: 2, BackoffBase: 50 * time.Millisecond, BackoffMax: time.Second},
 		},
 	})
-	w.wg.Go(func() { _ = e.Run(ctx, host) })
-	w.mu.Lock()
-	w.entries[name] = &worldEntry{Entry: e, kill: kill, host: host}
-	w.mu.Unlock()
-	w.hosts.Put(hostOf(name))
-}
-
-// killEntry loses a host at once: its connections end before its code can say
-// anything, and the list drops it.
-func (w *world) killEntry(name string) {
-	w.mu.Lock()
-	e := w.entries[name]
-	delete(w.entries, name)
-	w.mu.Unlock()
+	tc.wg.Go(func() { _ = e.Run(ctx, host) })
+	tc.mu.Lock()
+	tc.entries[name] = &testEntry{Entry: e, cancel: cancel, host: host}
+	tc.mu.Unlock()
+	tc.hosts.Put(hostOf(name))
+}
+
+// killEntry simulates the sudden loss of a host: its connections are closed
+// before the entry is stopped, so that it cannot send anything more, and it
+// leaves the host list.
+func (tc *testCluster) killEntry(name string) {
+	tc.mu.Lock()
+	e := tc.entries[name]
+	delete(tc.entries, name)
+	tc.mu.Unlock()
 	if e == nil {
 		return
 	}
-	w.net.down(name)
-	e.kill()
-	w.hosts.Remove(name)
+	tc.net.removeHost(name)
+	e.cancel()
+	tc.hosts.Remove(name)
 }
 
-func (w *world) killAgent(name string) {
-	a := w.agents[name]
+func (tc *testCluster) killAgent(name string) {
+	a := tc.agents[name]
 	if a == nil {
 		return
 	}
-	delete(w.agents, name)
-	w.net.down(name)
-	a.kill()
-}
-
-// some returns a running entry, preferring one.
-func (w *world) some(n int) *worldEntry {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for i := range w.set.entries {
-		if e := w.entries[entryName((n+i)%w.set.entries)]; e != nil && !e.host.isPaused() {
+	delete(tc.agents, name)
+	tc.net.removeHost(name)
+	a.cancel()
+}
+
+// runningEntry returns entry n, or the next one that is running and not paused. It
+// returns nil if there is none.
+func (tc *testCluster) runningEntry(n int) *testEntry {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	for i := range tc.settings.entries {
+		if e := tc.entries[entryName((n+i)%tc.settings.entries)]; e != nil && !e.host.isPaused() {
 			return e
 		}
 	}
 	return nil
 }
 
-func (w *world) close() {
-	w.net.healAll()
-	w.end()
-	w.net.closeAll()
-	w.wg.Wait()
-	// Virtual time stands still once the test function has returned; timers of
-	// what is winding down must fire before.
+func (tc *testCluster) close() {
+	tc.net.resumeAll()
+	tc.cancel()
+	tc.net.closeAll()
+	tc.wg.Wait()
+	// Virtual time stops when the test function returns. The timers of goroutines
+	// that are still shutting down must fire before that.
 	time.Sleep(time.Minute)
 }
 
-// gatedLog stops answering while its host is paused, before and after the call,
-// so that an append may take effect while its caller sleeps.
-type gatedLog struct {
+// pausableLog blocks while its host is paused, both before and after each call,
+// so that an append can take effect while its caller is paused.
+type pausableLog struct {
 	log  infra.Log
 	host *pipeHost
 }
 
-func (g *gatedLog) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	g.host.gate()
+func (g *pausableLog) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
+	g.host.waitWhilePaused()
 	off, err := g.log.Append(ctx, stream, data)
-	g.host.gate()
+	g.host.waitWhilePaused()
 	return off, err
 }
 
-func (g *gatedLog) Read(ctx context.Context, stream string, from uint64, maxBytes int, wait time.Duration) (infra.Page, error) {
-	g.host.gate()
+func (g *pausableLog) Read(ctx context.Context, stream string, from uint64, maxBytes int, wait time.Duration) (infra.Page, error) {
+	g.host.waitWhilePaused()
 	p, err := g.log.Read(ctx, stream, from, maxBytes, wait)
-	g.host.gate()
+	g.host.waitWhilePaused()
 	return p, err
 }
 
-// gatedHosts does not answer while its host is paused.
-type gatedHosts struct {
+// pausableHostList blocks while its host is paused.
+type pausableHostList struct {
 	list infra.HostList
 	host *pipeHost
 }
 
-func (g *gatedHosts) Hosts(ctx context.Context) ([]infra.Host, error) {
-	g.host.gate()
+func (g *pausableHostList) Hosts(ctx context.Context) ([]infra.Host, error) {
+	g.host.waitWhilePaused()
 	return g.list.Hosts(ctx)
 }
 
-// pipeNet connects hosts by pipes.
+// pipeNet is a network that connects hosts by in-memory pipes.
 type pipeNet struct {
 	mu    sync.Mutex
 	hosts map[string]*pipeHost
 }
 
-// pipeHost is a host's listener and the switch of its faults.
+// pipeHost is the listener of a host. It can pause the host.
 type pipeHost struct {
 	name string
 
-	mu     sync.Mutex
-	conns  map[*pipeConn]struct{}
-	accept chan net.Conn
-	closed chan struct{}
-	paused chan struct{} // closed when not paused
-	frozen bool
+	mu      sync.Mutex
+	conns   map[*pipeConn]struct{}
+	accept  chan net.Conn
+	closed  chan struct{}
+	resumed chan struct{} // closed while the host is not paused
+	paused  bool
 }
 
 var errPipeDown = errors.New("host is down")
@@ -249,10 +251,10 @@
 func newPipeHost(name string) *pipeHost {
 	running := make(chan struct{})
 	close(running)
-	return &pipeHost{name: name, conns: make(map[*pipeConn]struct{}), accept: make(chan net.Conn), closed: make(chan struct{}), paused: running}
+	return &pipeHost{name: name, conns: make(map[*pipeConn]struct{}), accept: make(chan net.Conn), closed: make(chan struct{}), resumed: running}
 }
 
-func (n *pipeNet) up(name string) *pipeHost {
+func (n *pipeNet) addHost(name string) *pipeHost {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	h := newPipeHost(name)
@@ -260,27 +262,28 @@
 	return h
 }
 
-func (n *pipeNet) down(name string) {
+func (n *pipeNet) removeHost(name string) {
 	n.mu.Lock()
 	h := n.hosts[name]
 	n.mu.Unlock()
 	if h != nil {
-		n.retire(h)
+		n.detach(h)
 	}
 }
 
-// retire takes a host off the network, unless another of its name took its place.
-func (n *pipeNet) retire(h *pipeHost) {
+// detach removes a host from the network and closes its connections. A newer host
+// with the same name stays.
+func (n *pipeNet) detach(h *pipeHost) {
 	n.mu.Lock()
 	if n.hosts[h.name] == h {
 		delete(n.hosts, h.name)
 	}
 	n.mu.Unlock()
 	h.resume()
-	h.shut()
+	h.shutDown()
 }
 
-func (n *pipeNet) healAll() {
+func (n *pipeNet) resumeAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, h := range n.hosts {
@@ -292,13 +295,13 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, h := range n.hosts {
-		h.shut()
+		h.shutDown()
 	}
 }
 
-// silence makes the open connections between two hosts silent for good. New
-// ones work.
-func (n *pipeNet) silence(a, b string) {
+// silenceConns makes the open connections between hosts a and b discard all data
+// from now on, without closing them. New connections work.
+func (n *pipeNet) silenceConns(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if h := n.hosts[a]; h != nil {
@@ -306,7 +309,7 @@
 		defer h.mu.Unlock()
 		for c := range h.conns {
 			if c.peer == b {
-				c.goSilent()
+				c.silenceBothEnds()
 			}
 		}
 	}
@@ -320,11 +323,11 @@
 		return nil, errPipeDown
 	}
 	a, b := net.Pipe()
-	quiet := make(chan struct{})
+	silent := make(chan struct{})
 	var once sync.Once
-	mute := func() { once.Do(func() { close(quiet) }) }
-	near := &pipeConn{Conn: a, host: from, peer: addr, quiet: quiet, mute: mute, closed: make(chan struct{})}
-	far := &pipeConn{Conn: b, host: to, peer: from.name, quiet: quiet, mute: mute, closed: make(chan struct{})}
+	setSilent := func() { once.Do(func() { close(silent) }) }
+	near := &pipeConn{Conn: a, host: from, peer: addr, silent: silent, setSilent: setSilent, closed: make(chan struct{})}
+	far := &pipeConn{Conn: b, host: to, peer: from.name, silent: silent, setSilent: setSilent, closed: make(chan struct{})}
 	select {
 	case to.accept <- far:
 	case <-to.closed:
@@ -349,7 +352,7 @@
 	h.conns[c] = struct{}{}
 }
 
-func (h *pipeHost) shut() {
+func (h *pipeHost) shutDown() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	select {
@@ -374,7 +377,7 @@
 
 // Close implements net.Listener.
 func (h *pipeHost) Close() error {
-	h.shut()
+	h.shutDown()
 	return nil
 }
 
@@ -384,31 +387,31 @@
 func (h *pipeHost) pause() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.frozen {
-		h.frozen = true
-		h.paused = make(chan struct{})
+	if !h.paused {
+		h.paused = true
+		h.resumed = make(chan struct{})
 	}
 }
 
 func (h *pipeHost) resume() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.frozen {
-		h.frozen = false
-		close(h.paused)
+	if h.paused {
+		h.paused = false
+		close(h.resumed)
 	}
 }
 
 func (h *pipeHost) isPaused() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.frozen
+	return h.paused
 }
 
-// gate blocks while the host is paused.
-func (h *pipeHost) gate() {
+// waitWhilePaused blocks while the host is paused.
+func (h *pipeHost) waitWhilePaused() {
 	h.mu.Lock()
-	p := h.paused
+	p := h.resumed
 	h.mu.Unlock()
 	<-p
 }
@@ -416,19 +419,19 @@
 // pipeConn is one end of a connection.
 type pipeConn struct {
 	net.Conn
-	host  *pipeHost
-	peer  string
-	quiet chan struct{} // closed when the connection is silent
-	mute  func()
+	host      *pipeHost
+	peer      string
+	silent    chan struct{} // closed once the connection discards all data
+	setSilent func()
 
 	once   sync.Once
 	closed chan struct{}
 }
 
-// gate blocks while the host is paused and the connection is open.
-func (c *pipeConn) gate() {
+// waitWhilePaused blocks while the host is paused and the connection is open.
+func (c *pipeConn) waitWhilePaused() {
 	c.host.mu.Lock()
-	p := c.host.paused
+	p := c.host.resumed
 	c.host.mu.Unlock()
 	select {
 	case <-p:
@@ -442,14 +445,14 @@
 	return c.Conn.Close()
 }
 
-func (c *pipeConn) goSilent() { c.mute() }
+func (c *pipeConn) silenceBothEnds() { c.setSilent() }
 
 // Read implements net.Conn.
 func (c *pipeConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.gate()
+	c.waitWhilePaused()
 	select {
-	case <-c.quiet:
+	case <-c.silent:
 		if err == nil {
 			return c.Read(p)
 		}
@@ -460,9 +463,9 @@
 
 // Write implements net.Conn.
 func (c *pipeConn) Write(p []byte) (int, error) {
-	c.gate()
+	c.waitWhilePaused()
 	select {
-	case <-c.quiet:
+	case <-c.silent:
 		return len(p), nil
 	default:
 	}
@@ -473,10 +476,11 @@
 	return infra.Host{Name: name, Role: infra.RoleEntry, Addr: name, DataCentre: "caerdydd-a"}
 }
 
-// bubble runs f in virtual time. yamux keeps timers in a pool of the whole
-// process, and a timer of one bubble must not be used in another: two collections
-// empty the pool. Tests in bubbles therefore never run in parallel.
-func bubble(t *testing.T, f func(*testing.T)) {
+// runInBubble runs f in a synctest bubble, in virtual time. yamux keeps timers in
+// a process-wide sync.Pool, and a timer of one bubble must not be used in
+// another. Two garbage collections empty the pool. For the same reason, tests in
+// bubbles never run in parallel.
+func runInBubble(t *testing.T, f func(*testing.T)) {
 	t.Helper()
 	runtime.GC()
 	runtime.GC()
