--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,6 +1,7 @@
-// Package agent is the process beside one target. It is the only gate to its
-// engine: it queues, admits, runs and keeps answers until their readers have
-// them, and it is the place of truth about whether a request ran.
+// Package agent implements the process that runs beside one target. All requests
+// to the engine pass through it: it queues, admits and runs them, and keeps answers
+// until their readers have received them. It is authoritative on whether a request
+// ran.
 package agent
 
 import (
@@ -22,64 +23,66 @@
 	"pumiceford/wire"
 )
 
-// Service is a plain service beside the model engine.
+// Service is a plain service on the same host as the model engine.
 type Service interface {
-	// Do makes one call. Nothing repeats it.
+	// Do makes one call and never retries it.
 	Do(ctx context.Context, method, path string, body []byte) (status int, contentType string, reply []byte, err error)
 }
 
-// Config says what an agent is made of.
+// Config holds the parts and limits of an agent. A zero limit means its default.
 type Config struct {
 	Name        string
 	DataCentre  string
 	Incarnation oplog.Incarnation
-	Engine      engine.Engine      // nil when only plain services stand here
+	Engine      engine.Engine      // nil when the target has only plain services
 	Services    map[string]Service // by name
 	Admission   admission.Settings
 
-	// AnswerKeep is how long a finished answer can still be read, default 30 s.
-	AnswerKeep time.Duration
-	// KeyedAnswerKeep is the same for requests with an idempotency key, default 10 min.
-	KeyedAnswerKeep time.Duration
-	// TombstoneKeep is how long a revoked id is refused. It must be above the
-	// longest request deadline, default 15 min.
-	TombstoneKeep time.Duration
-	// OrphanAfter is how long a request without a reader goes on, default 5 s.
-	OrphanAfter time.Duration
-	// ReserveFor is how many seconds of batch work are kept queued, default 2 s.
-	ReserveFor time.Duration
-	// MaxHeldBytes bounds results that wait to become durable, default 32 MiB.
+	// AnswerRetention is how long a finished answer can still be read. Default 30 s.
+	AnswerRetention time.Duration
+	// KeyedAnswerRetention is the same for requests with an idempotency key. Default
+	// 10 min.
+	KeyedAnswerRetention time.Duration
+	// TombstoneRetention is how long a revoked ID is refused. It must exceed
+	// MaxTimeout. Default 15 min.
+	TombstoneRetention time.Duration
+	// OrphanTimeout is how long a request without a reader keeps running. Default 5 s.
+	OrphanTimeout time.Duration
+	// BatchQueueTime is the amount of batch work to keep queued, measured as the time
+	// that it takes to run. Default 2 s.
+	BatchQueueTime time.Duration
+	// MaxHeldBytes bounds the results that are not yet durable. Default 32 MiB.
 	MaxHeldBytes int
-	// LeaseFor is how long queued batch items may start without word from their
-	// owner, default 3 s.
-	LeaseFor time.Duration
+	// LeaseTimeout is how long after the last message of their owner queued batch
+	// items may still start. Default 3 s.
+	LeaseTimeout time.Duration
 
 	Log     logging.Logger
 	Metrics *metrics.Set
 }
 
-// Defaults of Config.
+// Default values of Config.
 const (
-	defaultAnswerKeep      = 30 * time.Second
-	defaultKeyedAnswerKeep = 10 * time.Minute
-	defaultTombstoneKeep   = 15 * time.Minute
-	defaultOrphanAfter     = 5 * time.Second
-	defaultReserveFor      = 2 * time.Second
-	defaultMaxHeldBytes    = 32 << 20
-	defaultLeaseFor        = 3 * time.Second
+	defaultAnswerRetention      = 30 * time.Second
+	defaultKeyedAnswerRetention = 10 * time.Minute
+	defaultTombstoneRetention   = 15 * time.Minute
+	defaultOrphanTimeout        = 5 * time.Second
+	defaultBatchQueueTime       = 2 * time.Second
+	defaultMaxHeldBytes         = 32 << 20
+	defaultLeaseTimeout         = 3 * time.Second
 )
 
-// MaxTimeout is the longest deadline that a request may carry. Tombstones and
-// keys outlive it.
+// MaxTimeout is the longest time-out that a request may carry. Tombstones and
+// idempotency keys are kept for longer.
 const MaxTimeout = 10 * time.Minute
 
 func (c Config) withDefaults() Config {
-	defaults.Set(&c.AnswerKeep, defaultAnswerKeep)
-	defaults.Set(&c.KeyedAnswerKeep, defaultKeyedAnswerKeep)
-	defaults.Set(&c.TombstoneKeep, defaultTombstoneKeep)
-	defaults.Set(&c.OrphanAfter, defaultOrphanAfter)
-	defaults.Set(&c.ReserveFor, defaultReserveFor)
-	defaults.Set(&c.LeaseFor, defaultLeaseFor)
+	defaults.Set(&c.AnswerRetention, defaultAnswerRetention)
+	defaults.Set(&c.KeyedAnswerRetention, defaultKeyedAnswerRetention)
+	defaults.Set(&c.TombstoneRetention, defaultTombstoneRetention)
+	defaults.Set(&c.OrphanTimeout, defaultOrphanTimeout)
+	defaults.Set(&c.BatchQueueTime, defaultBatchQueueTime)
+	defaults.Set(&c.LeaseTimeout, defaultLeaseTimeout)
 	defaults.Set(&c.MaxHeldBytes, defaultMaxHeldBytes)
 	if c.Metrics == nil {
 		c.Metrics = metrics.New(c.Name)
@@ -87,35 +90,35 @@
 	return c
 }
 
-// Agent is one agent. Lock order: Agent.mu, then the locks of Answer and of the
-// config follower. No call to
-// the engine, the network or a channel that can block is made under Agent.mu.
+// Agent queues, admits and runs the work of one target. Lock order: Agent.mu, then
+// the locks of online.Answer and of the config follower. The holder of Agent.mu never
+// calls the engine or the network and never waits for a channel.
 type Agent struct {
 	cfg Config
 	ctx context.Context
 
-	mu        sync.Mutex
-	adm       *admission.Admission
-	requests  map[string]*request
-	tombs     map[string]tombstone
-	tombsAt   time.Time // when they were looked through last
-	items     map[itemID]*item
-	parts     map[uint32]*partition
-	feeds     map[*feed]struct{}
-	heldSize  int
-	holdUntil time.Time // no batch before, because the engine took nothing
-	rate      itemRate
-	leaving   bool // the process is stopping
-	drained   bool // operators want the host to leave
-	models    []string
+	mu                sync.Mutex
+	adm               *admission.Admission
+	requests          map[string]*request
+	tombstones        map[string]tombstone
+	tombstonesSweptAt time.Time // last removal of expired tombstones
+	items             map[itemID]*item
+	partitions        map[uint32]*partition
+	feeds             map[*feed]struct{}
+	heldBytes         int       // size of the results that are not yet durable
+	batchHeldUntil    time.Time // no batch item starts before, since the engine was unavailable
+	rate              itemRate
+	stopping          bool // the process is stopping
+	drained           bool // an operator drains the host
+	models            []string
 
-	work chan task // started entries for the pool of workers
-	kick chan struct{}
+	tasks  chan task // admitted entries for the worker pool
+	wakeup chan struct{}
 
 	follower *config.Follower
 }
 
-// task is one started entry for a worker.
+// task is one admitted entry for a worker.
 type task struct {
 	run func()
 }
@@ -124,28 +127,28 @@
 func New(ctx context.Context, cfg Config) *Agent {
 	cfg = cfg.withDefaults()
 	a := &Agent{
-		cfg:      cfg,
-		ctx:      ctx,
-		adm:      admission.New(cfg.Admission),
-		requests: make(map[string]*request),
-		tombs:    make(map[string]tombstone),
-		items:    make(map[itemID]*item),
-		parts:    make(map[uint32]*partition),
-		feeds:    make(map[*feed]struct{}),
-		work:     make(chan task, 2*cfg.Admission.Seats),
-		kick:     make(chan struct{}, 1),
+		cfg:        cfg,
+		ctx:        ctx,
+		adm:        admission.New(cfg.Admission),
+		requests:   make(map[string]*request),
+		tombstones: make(map[string]tombstone),
+		items:      make(map[itemID]*item),
+		partitions: make(map[uint32]*partition),
+		feeds:      make(map[*feed]struct{}),
+		tasks:      make(chan task, 2*cfg.Admission.Seats),
+		wakeup:     make(chan struct{}, 1),
 	}
 	a.refreshModels(ctx)
-	for range workers(cfg.Admission.Seats) {
+	for range workerCount(cfg.Admission.Seats) {
 		go a.worker()
 	}
 	go a.loop()
 	return a
 }
 
-// workers returns the size of the pool: preempted items may still be leaving
-// their seat while their successors start.
-func workers(seats int) int {
+// workerCount returns the size of the worker pool. It is twice the seats, since a
+// preempted item may still be stopping while the next entry starts in its seat.
+func workerCount(seats int) int {
 	return 2 * seats
 }
 
@@ -154,37 +157,38 @@
 		select {
 		case <-a.ctx.Done():
 			return
-		case t := <-a.work:
+		case t := <-a.tasks:
 			t.run()
 		}
 	}
 }
 
-// Intervals of expiry, lease checks and model refresh.
 const (
-	housekeepEvery = 100 * time.Millisecond
-	// tombsEvery is the interval at which tombstones are looked through: there
-	// are thousands, and each stays for minutes.
-	tombsEvery = 10 * time.Second
+	// sweepInterval is the interval of the checks for expired answers, orphaned
+	// requests and expired leases.
+	sweepInterval = 100 * time.Millisecond
+	// tombstoneSweepInterval is longer, since there are thousands of tombstones and
+	// each is kept for minutes.
+	tombstoneSweepInterval = 10 * time.Second
 )
 
 func (a *Agent) loop() {
-	tick := time.NewTicker(housekeepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	modelsAt := time.Now()
 	for {
 		select {
 		case <-a.ctx.Done():
 			return
-		case <-a.kick:
+		case <-a.wakeup:
 		case now := <-tick.C:
-			a.housekeep(now)
+			a.sweep(now)
 			if now.Sub(modelsAt) > time.Second {
 				modelsAt = now
 				a.refreshModels(a.ctx)
 			}
 		}
-		a.decide()
+		a.schedule()
 	}
 }
 
@@ -201,88 +205,89 @@
 	a.mu.Unlock()
 }
 
-// wake makes the loop decide again.
+// wake makes the loop run schedule again.
 func (a *Agent) wake() {
 	select {
-	case a.kick <- struct{}{}:
+	case a.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// decide carries out what admission wants. Starts go to the pool of workers;
-// its channel holds twice the seats, so that sending does not block the loop
-// for longer than a worker needs to pick up.
-func (a *Agent) decide() {
+// schedule applies the actions that admission asks for and passes started entries to
+// the worker pool. The channel holds twice the seats, so that a send blocks the loop
+// no longer than a worker takes to receive.
+func (a *Agent) schedule() {
 	a.mu.Lock()
-	acts := a.adm.Next(time.Now())
+	actions := a.adm.Next(time.Now())
 	var tasks []task
-	for _, act := range acts {
-		if t, ok := a.carryOut(act); ok {
+	for _, action := range actions {
+		if t, ok := a.applyAction(action); ok {
 			tasks = append(tasks, t)
 		}
 	}
 	a.mu.Unlock()
 	for _, t := range tasks {
 		select {
-		case a.work <- t:
+		case a.tasks <- t:
 		case <-a.ctx.Done():
 		}
 	}
 }
 
-// carryOut applies one action under Agent.mu.
-func (a *Agent) carryOut(act admission.Action) (task, bool) {
-	id := act.Entry.ID
-	if act.Entry.Class == admission.Batch {
-		return a.carryOutItem(act)
+// applyAction applies one action of admission. It returns a task when an entry
+// starts. Agent.mu must be held.
+func (a *Agent) applyAction(action admission.Action) (task, bool) {
+	id := action.Entry.ID
+	if action.Entry.Class == admission.Batch {
+		return a.applyItemAction(action)
 	}
 	r := a.requests[id]
 	if r == nil {
 		return task{}, false
 	}
-	switch act.Kind {
+	switch action.Kind {
 	case admission.Reject:
-		r.life.Fire(online.TriggerRevoke)
+		r.lifecycle.Fire(online.TriggerRevoke)
 		r.answer.Fail(deadlineFailure())
 		r.finishedAt = time.Now()
 	case admission.Start:
-		r.life.Fire(online.TriggerStart)
+		r.lifecycle.Fire(online.TriggerStart)
 		r.running = true
 		return task{run: func() { a.runRequest(r) }}, true
 	}
 	return task{}, false
 }
 
-func (a *Agent) housekeep(now time.Time) {
+func (a *Agent) sweep(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if now.Sub(a.tombsAt) >= tombsEvery {
-		a.tombsAt = now
-		maps.DeleteFunc(a.tombs, func(_ string, t tombstone) bool { return now.After(t.until) })
+	if now.Sub(a.tombstonesSweptAt) >= tombstoneSweepInterval {
+		a.tombstonesSweptAt = now
+		maps.DeleteFunc(a.tombstones, func(_ string, t tombstone) bool { return now.After(t.until) })
 	}
 	for id, r := range a.requests {
-		a.housekeepRequest(now, id, r)
+		a.sweepRequest(now, id, r)
 	}
 	a.checkLeases(now)
 }
 
-// Status returns what the agent says of itself on heartbeats.
+// Status returns the agent's status for its heartbeats.
 func (a *Agent) Status() *wire.NodeStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	onRun, onQueue, batchRun, _ := a.adm.Counts()
+	onlineRunning, onlineQueued, batchRunning, _ := a.adm.Counts()
 	return &wire.NodeStatus{
 		Node:          a.cfg.Name,
 		DataCentre:    a.cfg.DataCentre,
 		Incarnation:   a.cfg.Incarnation[:],
-		Leaving:       a.closing(),
+		Leaving:       a.draining(),
 		ConfigOffset:  a.configOffset(),
 		Models:        a.models,
 		Services:      a.serviceNames(),
 		Seats:         uint32(a.cfg.Admission.Seats),
-		OnlineRunning: uint32(onRun),
-		OnlineQueued:  uint32(onQueue),
-		BatchRunning:  uint32(batchRun),
+		OnlineRunning: uint32(onlineRunning),
+		OnlineQueued:  uint32(onlineQueued),
+		BatchRunning:  uint32(batchRunning),
 	}
 }
 
@@ -290,12 +295,12 @@
 	return slices.Sorted(maps.Keys(a.cfg.Services))
 }
 
-// closing reports whether nothing new is taken. Agent.mu must be held.
-func (a *Agent) closing() bool {
-	return a.leaving || a.drained
+// draining reports whether the agent accepts no new work. Agent.mu must be held.
+func (a *Agent) draining() bool {
+	return a.stopping || a.drained
 }
 
-// Handle serves one stream from an entry.
+// Handle serves one stream that an entry opened.
 func (a *Agent) Handle(ctx context.Context, _ link.Class, call *wire.Call, st *link.Stream) {
 	switch k := call.GetKind().(type) {
 	case *wire.Call_Start:
@@ -311,12 +316,12 @@
 	}
 }
 
-// Leave stops new work, hands queued batch items back, and returns when
-// everything that runs has finished and its results are durable, or ctx ends.
-// It reports how many requests were cut off by the end of ctx.
+// Leave refuses new work, hands queued batch items back and waits until all running
+// work has finished and its results are durable, or ctx ends. It returns the number
+// of requests and batch items that were still unfinished at the end of ctx.
 func (a *Agent) Leave(ctx context.Context) int {
 	a.mu.Lock()
-	a.leaving = true
+	a.stopping = true
 	a.mu.Unlock()
 	a.wake()
 	tick := time.NewTicker(20 * time.Millisecond)
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// inBubble runs f with a fresh agent in virtual time.
-func inBubble(t *testing.T, f func(t *testing.T, a *Agent, e *standin.Engine)) {
+// inVirtualTime runs f with a new agent in a synctest bubble.
+func inVirtualTime(t *testing.T, f func(t *testing.T, a *Agent, e *standin.Engine)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -39,49 +39,46 @@
 	})
 }
 
-// Symptom: a request that was told as not run runs after all. Sequence: the
-// start is delayed on its way, the entry revokes the id and tells its caller "not
-// run", then the start arrives. Cause guarded against: an agent that forgets what
-// it promised.
-func TestLateStartAfterRevoke(t *testing.T) {
-	inBubble(t, func(t *testing.T, a *Agent, e *standin.Engine) {
+// Guards against running a request that was reported as not run: its start is delayed
+// in the network, the entry revokes the ID and tells its caller that the request did
+// not run, and then the start arrives at an agent that kept no tombstone.
+func TestRefusesStartAfterRevoke(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T, a *Agent, e *standin.Engine) {
 		s := testStart(a)
 		if ran := a.revoke(&wire.Revoke{Id: s.GetId(), AgentIncarnation: s.GetAgentIncarnation()}); ran != wire.Ran_RAN_NO {
-			t.Fatalf("revoke of an unknown id told %v", ran)
+			t.Fatalf("revoke of an unknown ID returned %v, want RAN_NO", ran)
 		}
 		time.Sleep(MaxTimeout)
 		if _, err := a.admit(s); err == nil || err.Code != apierr.CodeNotRun {
-			t.Fatalf("late start: %v", err)
+			t.Fatalf("start after revoke: got %v, want CodeNotRun", err)
 		}
 		time.Sleep(time.Second)
 		if n := e.Runs(hexID(s.GetId())); n != 0 {
-			t.Fatalf("it ran %d times", n)
+			t.Fatalf("the request ran %d times, want 0", n)
 		}
 	})
 }
 
-// Symptom: a non-idempotent request runs twice around a restart of its agent.
-// Sequence: a start meant for the earlier run of the process reaches the later
-// one. Cause guarded against: a start that is valid for any run.
-func TestStartForAnEarlierIncarnation(t *testing.T) {
-	inBubble(t, func(t *testing.T, a *Agent, _ *standin.Engine) {
+// Guards against running a non-idempotent request twice across a restart of its agent:
+// a start for the earlier incarnation reaches the later one, which accepts it.
+func TestRefusesStartForOtherIncarnation(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T, a *Agent, _ *standin.Engine) {
 		s := testStart(a)
 		other := oplog.NewIncarnation()
 		s.AgentIncarnation = other[:]
 		if _, err := a.admit(s); err == nil || err.Code != apierr.CodeWrongIncarnation || err.Ran != wire.Ran_RAN_NO {
-			t.Fatalf("start for another incarnation: %v", err)
+			t.Fatalf("start for another incarnation: got %v, want CodeWrongIncarnation and RAN_NO", err)
 		}
 		if ran := a.revoke(&wire.Revoke{Id: s.GetId(), AgentIncarnation: other[:]}); ran != wire.Ran_RAN_UNKNOWN {
-			t.Fatalf("revoke for another incarnation told %v", ran)
+			t.Fatalf("revoke for another incarnation returned %v, want RAN_UNKNOWN", ran)
 		}
 	})
 }
 
-// Symptom: "not run" for a request that ran. Sequence: its answer is kept for a
-// while, dropped, and then the entry revokes the id. Cause guarded against: a
-// forgotten run that looks like one that never was.
-func TestRevokeLongAfterTheRun(t *testing.T) {
-	inBubble(t, func(t *testing.T, a *Agent, e *standin.Engine) {
+// Guards against reporting "not run" for a request that ran: its answer expires, and
+// then the entry revokes the ID at an agent that has no record of the run.
+func TestRevokeAfterAnswerExpired(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T, a *Agent, e *standin.Engine) {
 		s := testStart(a)
 		r, err := a.admit(s)
 		if err != nil {
@@ -89,28 +86,27 @@
 		}
 		a.wake()
 		time.Sleep(time.Second)
-		a.readerLeft(r)
+		a.removeReader(r)
 		time.Sleep(5 * time.Minute)
 		a.mu.Lock()
 		kept := a.requests[string(s.GetId())] != nil
 		a.mu.Unlock()
 		if kept {
-			t.Fatal("the answer is still kept")
+			t.Fatal("the answer is still kept 5 min after its end")
 		}
 		if ran := a.revoke(&wire.Revoke{Id: s.GetId(), AgentIncarnation: s.GetAgentIncarnation()}); ran != wire.Ran_RAN_YES {
-			t.Fatalf("revoke after the run told %v", ran)
+			t.Fatalf("revoke after the run returned %v, want RAN_YES", ran)
 		}
 		if n := e.Runs(hexID(s.GetId())); n != 1 {
-			t.Fatalf("it ran %d times", n)
+			t.Fatalf("the request ran %d times, want 1", n)
 		}
 	})
 }
 
-// Symptom: the seat of a caller who hung up stays taken. Sequence: the entry
-// revokes a running request. Cause guarded against: a cancel that does not reach
-// the engine.
-func TestRevokeFreesTheSeat(t *testing.T) {
-	inBubble(t, func(t *testing.T, a *Agent, e *standin.Engine) {
+// Guards against a seat that stays occupied after its caller has disconnected: the
+// entry revokes a running request, but the cancel does not reach the engine.
+func TestRevokeFreesSeat(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T, a *Agent, e *standin.Engine) {
 		s := testStart(a)
 		s.MaxTokens = 10000
 		if _, err := a.admit(s); err != nil {
@@ -119,12 +115,12 @@
 		a.wake()
 		time.Sleep(100 * time.Millisecond)
 		if ran := a.revoke(&wire.Revoke{Id: s.GetId(), AgentIncarnation: s.GetAgentIncarnation()}); ran != wire.Ran_RAN_YES {
-			t.Fatalf("revoke of a running request told %v", ran)
+			t.Fatalf("revoke of a running request returned %v, want RAN_YES", ran)
 		}
 		const oneStep = 3 * time.Millisecond
 		time.Sleep(oneStep)
 		if c := e.Stats().Cancelled; c != 1 {
-			t.Fatalf("%d sequences cancelled at the engine", c)
+			t.Fatalf("%d sequences cancelled at the engine, want 1", c)
 		}
 	})
 }
@@ -137,86 +133,84 @@
 }
 
 func testFeed(a *Agent) *feed {
-	f := &feed{signal: make(chan struct{}, 1), stopping: make(map[string]*wire.JobRef)}
+	f := &feed{signal: make(chan struct{}, 1), cancelling: make(map[string]*wire.JobRef)}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.feeds[f] = struct{}{}
 	return f
 }
 
-func owns(epoch uint64) []*wire.PartitionEpoch {
+func testEpochs(epoch uint64) []*wire.PartitionEpoch {
 	return []*wire.PartitionEpoch{{Partition: 1, Epoch: epoch}}
 }
 
-// Symptom: an item of a cancelled job starts after the cancel was told as done.
-// Sequence: the owner is paused, another takes over and cancels the job, the
-// first wakes up and grants an item. Cause guarded against: grants that are taken
-// whoever sends them.
-func TestLateGrantOfASupersededOwner(t *testing.T) {
-	inBubble(t, func(t *testing.T, a *Agent, e *standin.Engine) {
-		old, now := testFeed(a), testFeed(a)
-		a.takeDown(old, &wire.FeedDown{Epochs: owns(1)})
-		a.takeDown(now, &wire.FeedDown{Epochs: owns(2), Cancelled: []*wire.JobRef{{Partition: 1, Epoch: 2, Job: testGrant(2, 7, 0).GetRef().GetJob()}}})
-		a.takeDown(old, &wire.FeedDown{Epochs: owns(1), Grants: []*wire.Grant{testGrant(1, 7, 0), testGrant(1, 8, 0)}})
-		a.takeDown(now, &wire.FeedDown{Epochs: owns(2), Grants: []*wire.Grant{testGrant(2, 7, 1)}})
+// Guards against starting an item of a job whose cancel was confirmed: the owner is
+// paused, another one takes over and cancels the job, and then the first owner resumes
+// and grants an item to an agent that does not check epochs.
+func TestRefusesGrantsOfSupersededOwner(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T, a *Agent, e *standin.Engine) {
+		oldFeed, newFeed := testFeed(a), testFeed(a)
+		a.applyFeedDown(oldFeed, &wire.FeedDown{Epochs: testEpochs(1)})
+		a.applyFeedDown(newFeed, &wire.FeedDown{Epochs: testEpochs(2), Cancelled: []*wire.JobRef{{Partition: 1, Epoch: 2, Job: testGrant(2, 7, 0).GetRef().GetJob()}}})
+		a.applyFeedDown(oldFeed, &wire.FeedDown{Epochs: testEpochs(1), Grants: []*wire.Grant{testGrant(1, 7, 0), testGrant(1, 8, 0)}})
+		a.applyFeedDown(newFeed, &wire.FeedDown{Epochs: testEpochs(2), Grants: []*wire.Grant{testGrant(2, 7, 1)}})
 		time.Sleep(time.Second)
 		if n := e.Stats().Admitted; n != 0 {
-			t.Fatalf("%d items ran", n)
+			t.Fatalf("%d items ran, want 0", n)
 		}
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		if len(old.back) != 2 || len(now.back) != 1 {
-			t.Fatalf("%d and %d grants handed back", len(old.back), len(now.back))
+		if len(oldFeed.handedBack) != 2 || len(newFeed.handedBack) != 1 {
+			t.Fatalf("%d and %d grants handed back, want 2 and 1", len(oldFeed.handedBack), len(newFeed.handedBack))
 		}
 	})
 }
 
-// Symptom: an item starts although its job may be cancelled by now. Sequence: the
-// owner goes silent with items queued at the agent; a new owner that the agent
-// does not hear may have cancelled the job. Cause guarded against: queued items
-// without a lease.
-func TestQueuedItemsWaitWithoutTheirOwner(t *testing.T) {
-	inBubble(t, func(t *testing.T, a *Agent, e *standin.Engine) {
+// Guards against starting an item whose job may have been cancelled: the owner stops
+// sending while items are queued at the agent, and a new owner, which the agent cannot
+// reach, may have cancelled the job. Queued items need a lease.
+func TestQueuedItemsNeedOwnerLease(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T, a *Agent, e *standin.Engine) {
 		f := testFeed(a)
 		long := testGrant(1, 7, 0)
-		long.MaxTokens = 3000 // about six seconds at two milliseconds a step
+		long.MaxTokens = 3000 // about 6 s at 2 ms a step
 		alone := testGrant(1, 7, 1)
 		alone.Alone = true
-		a.takeDown(f, &wire.FeedDown{Epochs: owns(1), Grants: []*wire.Grant{long, alone}})
+		a.applyFeedDown(f, &wire.FeedDown{Epochs: testEpochs(1), Grants: []*wire.Grant{long, alone}})
 		time.Sleep(20 * time.Second)
 		if n := e.Stats().Admitted; n != 1 {
-			t.Fatalf("%d items started without word from the owner, want only the first", n)
+			t.Fatalf("%d items started without a message from the owner, want 1", n)
 		}
-		a.takeDown(f, &wire.FeedDown{Epochs: owns(1)})
+		a.applyFeedDown(f, &wire.FeedDown{Epochs: testEpochs(1)})
 		time.Sleep(time.Second)
 		if n := e.Stats().Admitted; n != 2 {
-			t.Fatalf("%d items started after the owner was heard again", n)
+			t.Fatalf("%d items started after a message from the owner, want 2", n)
 		}
 	})
 }
 
-// Symptom: a result is lost with its owner. Sequence: an item finishes, its owner
-// dies before the result is durable, and a new owner comes. Cause guarded
-// against: results forgotten once they were sent.
-func TestResultsAreOfferedToANewOwner(t *testing.T) {
-	inBubble(t, func(t *testing.T, a *Agent, _ *standin.Engine) {
-		old, now := testFeed(a), testFeed(a)
-		a.takeDown(old, &wire.FeedDown{Epochs: owns(1), Grants: []*wire.Grant{testGrant(1, 7, 0)}})
+// Guards against losing a result together with its owner: an item finishes, the owner
+// crashes before the result is durable, and the agent has deleted the result after
+// sending it, so that the next owner does not receive it.
+func TestResendsResultsToNewOwner(t *testing.T) {
+	inVirtualTime(t, func(t *testing.T, a *Agent, _ *standin.Engine) {
+		oldFeed, newFeed := testFeed(a), testFeed(a)
+		a.applyFeedDown(oldFeed, &wire.FeedDown{Epochs: testEpochs(1), Grants: []*wire.Grant{testGrant(1, 7, 0)}})
 		time.Sleep(time.Second)
-		if up := a.nextUp(old); len(up.GetResults()) == 0 {
-			t.Fatal("no result for the first owner")
+		if up := a.nextFeedUp(oldFeed); len(up.GetResults()) == 0 {
+			t.Fatal("no result sent to the first owner")
 		}
-		a.takeDown(now, &wire.FeedDown{Epochs: owns(2)})
-		up := a.nextUp(now)
+		a.applyFeedDown(newFeed, &wire.FeedDown{Epochs: testEpochs(2)})
+		up := a.nextFeedUp(newFeed)
 		if len(up.GetResults()) != 1 || len(up.GetHeld()) != 1 || len(up.GetDeclared()) != 1 {
-			t.Fatalf("the new owner is told %v", up)
+			t.Fatalf("new owner got %v, want 1 result, 1 held item and 1 declared partition", up)
 		}
-		a.takeDown(now, &wire.FeedDown{Durable: []*wire.ItemRef{testGrant(2, 7, 0).GetRef()}})
+		a.applyFeedDown(newFeed, &wire.FeedDown{Durable: []*wire.ItemRef{testGrant(2, 7, 0).GetRef()}})
 		a.mu.Lock()
 		held := len(a.items)
 		a.mu.Unlock()
 		if held != 0 {
-			t.Fatal("a durable result is still held")
+			t.Fatal("the item is still held after its result became durable")
 		}
 	})
 }
--- a/agent/configpeer.go
+++ b/agent/configpeer.go
@@ -12,14 +12,14 @@
 	"pumiceford/wire"
 )
 
-// ConfigPeers asks entries for configuration while the platform's log does not
-// answer. It remembers the last host list, which may be away as well.
+// ConfigPeers fetches configuration from entries while the platform's log does not
+// answer. It caches the host list, which may be unavailable at the same time.
 type ConfigPeers struct {
 	hosts infra.HostList
 	link  link.Config
 
-	mu   sync.Mutex
-	last []infra.Host
+	mu      sync.Mutex
+	entries []infra.Host
 }
 
 // NewConfigPeers returns a ConfigPeers.
@@ -28,18 +28,18 @@
 }
 
 const (
-	askedEntries = 2
-	askTimeout   = time.Second
-	remindEvery  = 10 * time.Second
+	maxQueriedEntries = 2
+	queryTimeout      = time.Second
+	hostListInterval  = 10 * time.Second
 )
 
-// Run keeps the host list until ctx ends.
+// Run refreshes the cached host list until ctx ends.
 func (p *ConfigPeers) Run(ctx context.Context) {
-	tick := time.NewTicker(remindEvery)
+	tick := time.NewTicker(hostListInterval)
 	defer tick.Stop()
 	for {
 		if list, err := p.hosts.Hosts(ctx); err == nil {
-			p.remember(list)
+			p.setEntries(list)
 		}
 		select {
 		case <-ctx.Done():
@@ -49,7 +49,7 @@
 	}
 }
 
-func (p *ConfigPeers) remember(list []infra.Host) {
+func (p *ConfigPeers) setEntries(list []infra.Host) {
 	var entries []infra.Host
 	for _, h := range list {
 		if h.Role == infra.RoleEntry {
@@ -58,28 +58,30 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.last = entries
+	p.entries = entries
 }
 
-// Fetch implements config.FetchFunc: of a few entries the one that is furthest.
+// Fetch implements config.FetchFunc. It queries maxQueriedEntries random entries and
+// returns the records that reach the highest offset. An entry that does not answer
+// within queryTimeout is skipped.
 func (p *ConfigPeers) Fetch(ctx context.Context, from uint64) (*wire.ConfigRecords, error) {
 	p.mu.Lock()
-	entries := append([]infra.Host(nil), p.last...)
+	entries := append([]infra.Host(nil), p.entries...)
 	p.mu.Unlock()
 	rand.Shuffle(len(entries), func(i, j int) { entries[i], entries[j] = entries[j], entries[i] })
 	best := &wire.ConfigRecords{}
-	for _, h := range entries[:min(askedEntries, len(entries))] {
-		if got := p.ask(ctx, h.Addr, from); got.GetNext() > best.GetNext() {
+	for _, h := range entries[:min(maxQueriedEntries, len(entries))] {
+		if got := p.query(ctx, h.Addr, from); got.GetNext() > best.GetNext() {
 			best = got
 		}
 	}
 	return best, nil
 }
 
-func (p *ConfigPeers) ask(ctx context.Context, addr string, from uint64) *wire.ConfigRecords {
+func (p *ConfigPeers) query(ctx context.Context, addr string, from uint64) *wire.ConfigRecords {
 	peer := link.NewPeer(p.link, addr)
 	defer peer.Close()
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	got := &wire.ConfigRecords{}
 	call := &wire.Call{Kind: &wire.Call_ConfigFetch{ConfigFetch: &wire.ConfigFetch{From: from}}}
@@ -89,16 +91,16 @@
 	return got
 }
 
-// SetConfig tells the agent its config follower, whose offset and records it
-// gives to peers.
+// SetConfig sets the config follower whose offset the agent reports and whose records
+// it serves to peers.
 func (a *Agent) SetConfig(f *config.Follower) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.follower = f
 }
 
-// configOffset returns the offset that the configuration has reached. Agent.mu
-// must be held.
+// configOffset returns the config offset of the follower, 0 without one. Agent.mu must
+// be held.
 func (a *Agent) configOffset() uint64 {
 	if a.follower == nil {
 		return 0
@@ -111,7 +113,7 @@
 	follower := a.follower
 	a.mu.Unlock()
 	if follower != nil {
-		// A reader that is gone asks again.
+		// A peer that misses the reply repeats its request.
 		_ = st.Send(follower.Records(f.GetFrom()))
 	}
 }
--- a/agent/feed.go
+++ b/agent/feed.go
@@ -8,26 +8,26 @@
 	"pumiceford/wire"
 )
 
-// partition is what an agent knows of one batch partition.
+// partition is the agent's state of one batch partition.
 type partition struct {
-	epoch   uint64
-	feed    *feed
-	heard   time.Time       // last word from the owner
-	stopped map[string]bool // cancelled jobs
+	epoch         uint64
+	feed          *feed
+	lastHeard     time.Time // last message from the owner
+	cancelledJobs map[string]bool
 }
 
-// feed is one open stream to an owner. Agent.mu guards the fields.
+// feed is one open stream to the owner of partitions. Agent.mu guards the fields.
 type feed struct {
-	owner    string
-	started  []*wire.ItemRef
-	results  []*wire.ItemResult
-	back     []*wire.ItemRef
-	stopping map[string]*wire.JobRef // cancelled jobs not yet confirmed
-	declare  []uint32
-	backlog  uint32
-	asked    bool
-	signal   chan struct{}
-	dead     bool
+	owner       string
+	started     []*wire.ItemRef
+	results     []*wire.ItemResult
+	handedBack  []*wire.ItemRef
+	cancelling  map[string]*wire.JobRef // cancelled jobs not yet confirmed
+	undeclared  []uint32                // partitions whose items were not yet declared
+	backlog     uint32                  // items that wait at the owner
+	wantPending bool                    // the owner has sent nothing since the last want
+	signal      chan struct{}
+	closed      bool
 }
 
 func (f *feed) wake() {
@@ -37,8 +37,8 @@
 	}
 }
 
-func (a *Agent) feedOf(partition uint32) *feed {
-	if p := a.parts[partition]; p != nil && p.feed != nil && !p.feed.dead {
+func (a *Agent) feedFor(partition uint32) *feed {
+	if p := a.partitions[partition]; p != nil && p.feed != nil && !p.feed.closed {
 		return p.feed
 	}
 	return nil
@@ -47,31 +47,32 @@
 // feedInterval is the longest time between two messages to an owner.
 const feedInterval = time.Second
 
-// feedBatch is how long messages are gathered after the first of them.
-const feedBatch = 5 * time.Millisecond
+// feedBatchDelay is how long a message waits for further events after the first one,
+// so that they share it.
+const feedBatchDelay = 5 * time.Millisecond
 
 func (a *Agent) handleFeed(ctx context.Context, call *wire.Feed, st *link.Stream) {
 	f := &feed{
-		owner:    call.GetOwner(),
-		signal:   make(chan struct{}, 1),
-		stopping: make(map[string]*wire.JobRef),
+		owner:      call.GetOwner(),
+		signal:     make(chan struct{}, 1),
+		cancelling: make(map[string]*wire.JobRef),
 	}
 	a.mu.Lock()
 	a.feeds[f] = struct{}{}
 	a.mu.Unlock()
-	defer a.dropFeed(f)
-	gone := make(chan struct{})
+	defer a.closeFeed(f)
+	recvDone := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(recvDone)
 		a.readFeed(f, st)
 	}()
 	for {
-		if st.Send(a.nextUp(f)) != nil {
+		if st.Send(a.nextFeedUp(f)) != nil {
 			return
 		}
 		timer := time.NewTimer(feedInterval)
 		select {
-		case <-gone:
+		case <-recvDone:
 			timer.Stop()
 			return
 		case <-ctx.Done():
@@ -80,15 +81,15 @@
 		case <-timer.C:
 		case <-f.signal:
 			timer.Stop()
-			time.Sleep(feedBatch)
+			time.Sleep(feedBatchDelay)
 		}
 	}
 }
 
-func (a *Agent) dropFeed(f *feed) {
+func (a *Agent) closeFeed(f *feed) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	f.dead = true
+	f.closed = true
 	delete(a.feeds, f)
 }
 
@@ -98,43 +99,43 @@
 		if st.Recv(m) != nil {
 			return
 		}
-		a.takeDown(f, m)
+		a.applyFeedDown(f, m)
 		a.wake()
 	}
 }
 
-// takeDown applies one message of an owner. Epochs come first, so that grants
-// and cancels of a superseded owner are refused.
-func (a *Agent) takeDown(f *feed, m *wire.FeedDown) {
+// applyFeedDown applies one message of an owner. It applies the epochs first, so that
+// it refuses grants and cancels of a superseded owner.
+func (a *Agent) applyFeedDown(f *feed, m *wire.FeedDown) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
 	for _, pe := range m.GetEpochs() {
-		a.takeEpoch(f, pe, now)
+		a.applyEpoch(f, pe, now)
 	}
 	for _, ref := range m.GetDurable() {
 		if it := a.items[itemIDOf(ref)]; it != nil && it.state == itemDone {
-			a.forgetItem(it)
+			a.deleteItem(it)
 		}
 	}
 	for _, ref := range m.GetCancelled() {
 		a.cancelJob(f, ref)
 	}
 	for _, g := range m.GetGrants() {
-		if a.closing() || !a.accept(g) {
-			f.back = append(f.back, g.GetRef())
+		if a.draining() || !a.acceptGrant(g) {
+			f.handedBack = append(f.handedBack, g.GetRef())
 		}
 	}
 	f.backlog = m.GetBacklog()
-	f.asked = false
+	f.wantPending = false
 	f.wake()
 }
 
-func (a *Agent) takeEpoch(f *feed, pe *wire.PartitionEpoch, now time.Time) {
-	p := a.parts[pe.GetPartition()]
+func (a *Agent) applyEpoch(f *feed, pe *wire.PartitionEpoch, now time.Time) {
+	p := a.partitions[pe.GetPartition()]
 	if p == nil {
-		p = &partition{stopped: make(map[string]bool)}
-		a.parts[pe.GetPartition()] = p
+		p = &partition{cancelledJobs: make(map[string]bool)}
+		a.partitions[pe.GetPartition()] = p
 	}
 	if pe.GetEpoch() < p.epoch {
 		return
@@ -142,13 +143,14 @@
 	if pe.GetEpoch() > p.epoch || p.feed != f {
 		p.epoch = pe.GetEpoch()
 		p.feed = f
-		f.declare = append(f.declare, pe.GetPartition())
+		f.undeclared = append(f.undeclared, pe.GetPartition())
 	}
-	p.heard = now
+	p.lastHeard = now
 	a.renewLease(pe.GetPartition())
 }
 
-// renewLease makes items queued again that lost their lease.
+// renewLease offers the queued items of a partition to admission again, in case they
+// were withdrawn when its lease expired.
 func (a *Agent) renewLease(partition uint32) {
 	for id, it := range a.items {
 		if id.partition == partition && it.state == itemQueued {
@@ -157,13 +159,13 @@
 	}
 }
 
-// checkLeases holds queued items back whose owner has been silent. Another
-// entry may own the partition by now and may have cancelled the job; starting
-// the item would break the promise that a cancelled job stops.
+// checkLeases withdraws queued items whose owner has sent nothing for LeaseTimeout.
+// Another entry may own the partition by now and may have cancelled the job, and no
+// item of a cancelled job may start.
 func (a *Agent) checkLeases(now time.Time) {
 	for id, it := range a.items {
-		p := a.parts[id.partition]
-		fresh := p != nil && now.Sub(p.heard) <= a.cfg.LeaseFor
+		p := a.partitions[id.partition]
+		fresh := p != nil && now.Sub(p.lastHeard) <= a.cfg.LeaseTimeout
 		if it.state == itemQueued && !fresh {
 			a.withdraw(it)
 		}
@@ -171,57 +173,57 @@
 }
 
 func (a *Agent) cancelJob(f *feed, ref *wire.JobRef) {
-	p := a.parts[ref.GetPartition()]
+	p := a.partitions[ref.GetPartition()]
 	if p == nil || ref.GetEpoch() < p.epoch {
 		return
 	}
 	job := string(ref.GetJob())
-	p.stopped[job] = true
-	f.stopping[job] = ref
+	p.cancelledJobs[job] = true
+	f.cancelling[job] = ref
 	for id, it := range a.items {
 		if id.partition == ref.GetPartition() && id.job == job {
-			a.dropItem(it)
+			a.cancelItem(it)
 		}
 	}
 }
 
-// nextUp builds the next message to an owner.
-func (a *Agent) nextUp(f *feed) *wire.FeedUp {
+// nextFeedUp builds the next message to an owner and clears what it reports.
+func (a *Agent) nextFeedUp(f *feed) *wire.FeedUp {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	up := &wire.FeedUp{
 		Results: f.results,
 		Started: f.started,
 		Models:  a.models,
-		Leaving: a.closing(),
+		Leaving: a.draining(),
 	}
 	f.results = nil
 	f.started = nil
 	a.declarePartitions(f, up)
 	a.confirmStopped(f, up)
-	if a.closing() {
+	if a.draining() {
 		a.handBackQueued(f)
 	}
-	up.HandedBack = f.back
-	f.back = nil
-	if n, ok := a.want(f); ok {
+	up.HandedBack = f.handedBack
+	f.handedBack = nil
+	if n, ok := a.wantedItems(f); ok {
 		up.Want = &n
 	}
 	return up
 }
 
-// declarePartitions names everything held of partitions that have a new owner,
-// so that nothing that is running or computed here is run again elsewhere.
+// declarePartitions lists all items held of partitions that have a new owner, so that
+// the owner does not run again elsewhere what is running or finished here.
 func (a *Agent) declarePartitions(f *feed, up *wire.FeedUp) {
-	for _, number := range f.declare {
-		p := a.parts[number]
+	for _, number := range f.undeclared {
+		p := a.partitions[number]
 		if p == nil || p.feed != f {
 			continue
 		}
 		up.Declared = append(up.Declared, number)
 		up.Incarnation = a.cfg.Incarnation[:]
 		for id, it := range a.items {
-			if id.partition != number || it.dropped {
+			if id.partition != number || it.cancelled {
 				continue
 			}
 			up.Held = append(up.Held, it.grant.GetRef())
@@ -233,57 +235,58 @@
 			}
 		}
 	}
-	f.declare = nil
+	f.undeclared = nil
 }
 
-// confirmStopped names the cancelled jobs of which nothing runs here any more.
+// confirmStopped lists the cancelled jobs of which no item runs here any more.
 func (a *Agent) confirmStopped(f *feed, up *wire.FeedUp) {
-	for job, ref := range f.stopping {
-		busy := false
+	for job, ref := range f.cancelling {
+		running := false
 		for id, it := range a.items {
 			if id.job == job && id.partition == ref.GetPartition() && it.state == itemRunning {
-				busy = true
+				running = true
 				break
 			}
 		}
-		if !busy {
+		if !running {
 			up.Stopped = append(up.Stopped, ref)
-			delete(f.stopping, job)
+			delete(f.cancelling, job)
 		}
 	}
 }
 
 func (a *Agent) handBackQueued(f *feed) {
 	for id, it := range a.items {
-		p := a.parts[id.partition]
+		p := a.partitions[id.partition]
 		if it.state != itemQueued || p == nil || p.feed != f {
 			continue
 		}
-		f.back = append(f.back, it.grant.GetRef())
+		f.handedBack = append(f.handedBack, it.grant.GetRef())
 		a.withdraw(it)
-		a.forgetItem(it)
+		a.deleteItem(it)
 	}
 }
 
-// want is how many more items the agent would take from one owner: enough for
-// ReserveFor at the measured rate, shared among the owners that have a backlog.
-// It reports false while an earlier word still stands.
-func (a *Agent) want(f *feed) (uint32, bool) {
-	held := a.heldSize >= a.cfg.MaxHeldBytes || time.Now().Before(a.holdUntil)
-	if a.closing() || held || a.cfg.Engine == nil {
+// wantedItems returns how many more items the agent requests from one owner. In total
+// it requests enough for BatchQueueTime at the measured rate, but at least twice the
+// seats, divided among the owners that have a backlog. It returns false while an
+// earlier request is outstanding.
+func (a *Agent) wantedItems(f *feed) (uint32, bool) {
+	paused := a.heldBytes >= a.cfg.MaxHeldBytes || time.Now().Before(a.batchHeldUntil)
+	if a.draining() || paused || a.cfg.Engine == nil {
 		return 0, true
 	}
-	if f.asked {
+	if f.wantPending {
 		return 0, false
 	}
-	waiting := 0
+	unfinished := 0
 	for _, it := range a.items {
 		if it.state != itemDone {
-			waiting++
+			unfinished++
 		}
 	}
-	target := max(2*a.cfg.Admission.Seats, int(a.rate.rate*a.cfg.ReserveFor.Seconds()))
-	need := target - waiting
+	goal := max(2*a.cfg.Admission.Seats, int(a.rate.rate*a.cfg.BatchQueueTime.Seconds()))
+	need := goal - unfinished
 	if need <= 0 {
 		return 0, true
 	}
@@ -291,7 +294,7 @@
 	if sharers == 0 || f.backlog == 0 {
 		sharers = max(len(a.feeds), 1)
 	}
-	f.asked = true
+	f.wantPending = true
 	return uint32((need + sharers - 1) / sharers), true
 }
 
--- a/agent/item.go
+++ b/agent/item.go
@@ -14,7 +14,8 @@
 	"pumiceford/wire"
 )
 
-// itemID names a batch item at the agent, whichever owner granted it.
+// itemID identifies a batch item at the agent, independently of the owner that granted
+// it.
 type itemID struct {
 	partition uint32
 	job       string
@@ -38,39 +39,40 @@
 const (
 	itemQueued itemState = iota + 1
 	itemRunning
-	itemDone // result waits to become durable
+	itemDone // the result is not yet durable
 )
 
 // item is one granted batch item. Agent.mu guards it.
 type item struct {
-	id     itemID
-	grant  *wire.Grant
-	entry  *admission.Entry
-	state  itemState
-	queued bool // known to admission; a queued item without a fresh lease is not
+	id      itemID
+	grant   *wire.Grant
+	entry   *admission.Entry
+	state   itemState
+	offered bool // known to admission; false for a queued item without a valid lease
 
-	text    strings.Builder
-	tokens  uint32
-	stop    context.CancelFunc
-	preempt bool // stopped to give its seat to online; goes on later
-	restart bool // admitted again before the stopped run has left the engine
-	dropped bool // its job was cancelled
-	result  *wire.ItemResult
+	text       strings.Builder
+	tokens     uint32
+	stop       context.CancelFunc
+	preempted  bool // stopped to free its seat for online work; resumes later
+	readmitted bool // admitted again before the preempted run has stopped at the engine
+	cancelled  bool // the job was cancelled
+	result     *wire.ItemResult
 }
 
-// accept takes one grant. It reports false when the item must not run here.
-func (a *Agent) accept(g *wire.Grant) bool {
+// acceptGrant takes one grant. It returns false when the item must not run here.
+func (a *Agent) acceptGrant(g *wire.Grant) bool {
 	id := itemIDOf(g.GetRef())
-	p := a.parts[id.partition]
-	if p == nil || g.GetRef().GetEpoch() < p.epoch || p.stopped[id.job] {
-		// A paused owner may wake up and grant what a newer owner has given
-		// elsewhere or cancelled. The epoch and the tombstone keep it out.
+	p := a.partitions[id.partition]
+	if p == nil || g.GetRef().GetEpoch() < p.epoch || p.cancelledJobs[id.job] {
+		// An owner that was paused may grant items that a newer owner has granted
+		// elsewhere or whose job it has cancelled. The epoch and the list of
+		// cancelled jobs fence it off.
 		return false
 	}
 	if a.items[id] != nil {
 		return true
 	}
-	cost, blocks := estimate(g.GetPrompt(), g.GetMaxTokens())
+	cost, blocks := estimateCost(g.GetPrompt(), g.GetMaxTokens())
 	it := &item{id: id, grant: g, state: itemQueued}
 	it.entry = &admission.Entry{
 		ID:        id.String(),
@@ -89,47 +91,47 @@
 
 // enqueue offers an item to admission.
 func (a *Agent) enqueue(it *item) {
-	if it.queued {
+	if it.offered {
 		return
 	}
-	it.queued = true
+	it.offered = true
 	a.adm.Offer(time.Now(), it.entry)
 }
 
 // withdraw takes a queued item out of admission.
 func (a *Agent) withdraw(it *item) {
-	if !it.queued {
+	if !it.offered {
 		return
 	}
-	it.queued = false
+	it.offered = false
 	a.adm.Finish(time.Now(), it.entry)
 }
 
-// carryOutItem applies an action to a batch item under Agent.mu.
-func (a *Agent) carryOutItem(act admission.Action) (task, bool) {
-	it, ok := act.Entry.Ref.(*item)
+// applyItemAction applies an action to a batch item. Agent.mu must be held.
+func (a *Agent) applyItemAction(action admission.Action) (task, bool) {
+	it, ok := action.Entry.Ref.(*item)
 	if !ok {
 		return task{}, false
 	}
-	switch act.Kind {
+	switch action.Kind {
 	case admission.Preempt:
-		// Admission has queued the entry again. The item starts once more when
-		// the worker that runs it has let go.
-		it.preempt = true
-		it.restart = false
-		it.queued = true
+		// Admission has already queued the entry again. The item starts again only
+		// after its worker has ended the preempted run.
+		it.preempted = true
+		it.readmitted = false
+		it.offered = true
 		a.cfg.Metrics.Count("preempted")
 		if it.stop != nil {
 			it.stop()
 		}
 	case admission.Start:
 		if it.state == itemRunning {
-			it.restart = true
+			it.readmitted = true
 			return task{}, false
 		}
 		it.state = itemRunning
-		it.queued = false
-		if f := a.feedOf(it.id.partition); f != nil {
+		it.offered = false
+		if f := a.feedFor(it.id.partition); f != nil {
 			f.started = append(f.started, it.grant.GetRef())
 			f.wake()
 		}
@@ -138,51 +140,51 @@
 	return task{}, false
 }
 
-// runItem is the worker's part of a batch item.
+// runItem runs a batch item in a worker.
 func (a *Agent) runItem(it *item) {
 	for a.runItemOnce(it) {
 	}
 	a.wake()
 }
 
-// runItemOnce runs an item until it ends or is preempted. It reports true when
-// the item was admitted again meanwhile and must run on.
+// runItemOnce runs an item until it ends or is preempted. It returns true when the
+// item was admitted again in the meantime, so that the worker resumes it.
 func (a *Agent) runItemOnce(it *item) bool {
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
 	a.mu.Lock()
 	it.stop = cancel
-	if it.dropped || it.preempt {
+	if it.cancelled || it.preempted {
 		cancel()
 	}
 	a.mu.Unlock()
-	began := time.Now()
+	start := time.Now()
 	res, err := a.generateItem(ctx, it)
-	a.cfg.Metrics.Observe("batch", it.grant.GetWorkspace(), time.Since(began))
+	a.cfg.Metrics.Observe("batch", it.grant.GetWorkspace(), time.Since(start))
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	it.stop = nil
-	if it.preempt && err != nil && !it.dropped {
-		it.preempt = false
-		again := it.restart
-		it.restart = false
-		if !again {
+	if it.preempted && err != nil && !it.cancelled {
+		it.preempted = false
+		readmitted := it.readmitted
+		it.readmitted = false
+		if !readmitted {
 			it.state = itemQueued
 		}
-		return again
+		return readmitted
 	}
-	it.queued = false
+	it.offered = false
 	a.adm.Finish(time.Now(), it.entry)
-	if it.dropped {
-		a.forgetItem(it)
+	if it.cancelled {
+		a.deleteItem(it)
 		return false
 	}
 	a.finishItem(it, res, err)
 	return false
 }
 
-// generateItem runs an item on from the tokens that an earlier, preempted run
-// left.
+// generateItem runs an item at the engine. It resumes after the tokens of an earlier,
+// preempted run.
 func (a *Agent) generateItem(ctx context.Context, it *item) (*wire.ItemResult, error) {
 	g := it.grant
 	stream, err := a.cfg.Engine.Generate(ctx, engine.Request{
@@ -204,7 +206,7 @@
 		}
 		it.text.WriteString(c.Text)
 		it.tokens += c.Tokens
-		last = a.noteChunk(it.entry, last, it.tokens)
+		last = a.recordChunk(it.entry, last, it.tokens)
 		if c.Finish != "" {
 			return &wire.ItemResult{
 				Ok:               true,
@@ -216,10 +218,10 @@
 	}
 }
 
-// finishItem keeps a result until its owner says that it is durable.
+// finishItem keeps a result until the owner confirms that it is durable.
 func (a *Agent) finishItem(it *item, res *wire.ItemResult, err error) {
 	if err != nil {
-		res = failedItem(err)
+		res = failureResult(err)
 	}
 	if res.GetNotRun() {
 		a.holdBatch(time.Now())
@@ -228,26 +230,26 @@
 	res.CustomId = it.grant.GetCustomId()
 	it.result = res
 	it.state = itemDone
-	a.heldSize += len(res.GetText())
-	a.rate.note(time.Now())
-	if f := a.feedOf(it.id.partition); f != nil {
+	a.heldBytes += len(res.GetText())
+	a.rate.record(time.Now())
+	if f := a.feedFor(it.id.partition); f != nil {
 		f.results = append(f.results, res)
 		f.wake()
 	}
 }
 
-// engineHold is how long no batch item is started after the engine took nothing.
-const engineHold = 300 * time.Millisecond
+// batchHoldTime is how long no batch item starts after the engine was unavailable.
+const batchHoldTime = 300 * time.Millisecond
 
-// holdBatch stops batch for a while. Without it a target whose engine is down
-// would draw items faster than any other, fail them all, and use up the attempts
-// of items that did nothing wrong.
+// holdBatch starts no batch item for batchHoldTime. Otherwise a target whose engine is
+// down would request items faster than any other target, fail them all and use up the
+// attempts of sound items.
 func (a *Agent) holdBatch(now time.Time) {
-	a.holdUntil = now.Add(engineHold)
-	a.adm.HoldBatch(a.holdUntil)
+	a.batchHeldUntil = now.Add(batchHoldTime)
+	a.adm.HoldBatch(a.batchHeldUntil)
 }
 
-func failedItem(err error) *wire.ItemResult {
+func failureResult(err error) *wire.ItemResult {
 	res := &wire.ItemResult{Reason: err.Error()}
 	switch {
 	case errors.Is(err, engine.ErrRejected):
@@ -262,17 +264,18 @@
 	return res
 }
 
-// forgetItem drops an item.
-func (a *Agent) forgetItem(it *item) {
+// deleteItem removes an item and its result.
+func (a *Agent) deleteItem(it *item) {
 	if it.result != nil {
-		a.heldSize -= len(it.result.GetText())
+		a.heldBytes -= len(it.result.GetText())
 	}
 	delete(a.items, it.id)
 }
 
-// dropItem stops an item whose job was cancelled or that lives elsewhere now.
-func (a *Agent) dropItem(it *item) {
-	it.dropped = true
+// cancelItem stops an item whose job was cancelled. A running item is removed when its
+// worker has stopped it.
+func (a *Agent) cancelItem(it *item) {
+	it.cancelled = true
 	switch it.state {
 	case itemRunning:
 		if it.stop != nil {
@@ -280,34 +283,34 @@
 		}
 	case itemQueued:
 		a.withdraw(it)
-		a.forgetItem(it)
+		a.deleteItem(it)
 	case itemDone:
-		a.forgetItem(it)
+		a.deleteItem(it)
 	}
 }
 
-// itemRate measures finished items a second.
+// itemRate measures finished items per second.
 type itemRate struct {
-	since time.Time
-	count int
-	rate  float64
+	sampleStart time.Time
+	count       int
+	rate        float64
 }
 
-// rateInterval is how long items are counted for one sample of the rate.
-const rateInterval = 500 * time.Millisecond
+// rateSampleInterval is the shortest time over which one sample of the rate is taken.
+const rateSampleInterval = 500 * time.Millisecond
 
-func (r *itemRate) note(now time.Time) {
-	if r.since.IsZero() {
-		r.since = now
+func (r *itemRate) record(now time.Time) {
+	if r.sampleStart.IsZero() {
+		r.sampleStart = now
 	}
 	r.count++
-	if d := now.Sub(r.since); d >= rateInterval {
+	if d := now.Sub(r.sampleStart); d >= rateSampleInterval {
 		sample := float64(r.count) / d.Seconds()
 		if r.rate == 0 {
 			r.rate = sample
 		}
 		r.rate += (sample - r.rate) / 2
-		r.since = now
+		r.sampleStart = now
 		r.count = 0
 	}
 }
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -14,15 +14,15 @@
 	"pumiceford/routing"
 )
 
-// Follow keeps the agent in step with the configuration: drains, the harm that
-// its deployment tolerates, and the models that it serves.
+// Follow applies the configuration until ctx ends: drains, the deployment's harm (how
+// much longer batch may make an online step) and the models to serve.
 func (a *Agent) Follow(ctx context.Context, f *config.Follower, deployment string, hosts infra.HostList, weights infra.WeightStore) {
-	o := &orderer{a: a, follower: f, hosts: hosts, weights: weights, done: make(map[string]uint64), log: a.cfg.Log.Part("orders")}
+	r := &orderReconciler{agent: a, follower: f, hosts: hosts, weights: weights, applied: make(map[string]uint64), log: a.cfg.Log.Part("orders")}
 	for ctx.Err() == nil {
 		changed := f.Changed()
-		a.takePolicy(f, deployment)
-		o.reconcile(ctx)
-		timer := time.NewTimer(reconcileEvery)
+		a.applyPolicy(f, deployment)
+		r.reconcile(ctx)
+		timer := time.NewTimer(reconcileInterval)
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -32,11 +32,11 @@
 	}
 }
 
-// reconcileEvery is how often orders are looked at without a change, so that a
-// failed one is tried again.
-const reconcileEvery = 2 * time.Second
+// reconcileInterval is the interval of reconciling without a change of configuration,
+// so that failed orders are retried.
+const reconcileInterval = 2 * time.Second
 
-func (a *Agent) takePolicy(f *config.Follower, deployment string) {
+func (a *Agent) applyPolicy(f *config.Follower, deployment string) {
 	if !f.Synced() {
 		return
 	}
@@ -54,92 +54,92 @@
 	}
 }
 
-// orderer makes the engine serve what the configuration says. It gives no order
-// before the node has read the configuration to the present: a restarted agent
-// beside an engine that ignores fencing numbers is the only fence there is.
-type orderer struct {
-	a        *Agent
+// orderReconciler makes the engine serve the models of the configuration. It sends no
+// order before the follower is synced: for an engine that does not check fences, the
+// agent is the only fence, and a restarted agent could otherwise send an old order.
+type orderReconciler struct {
+	agent    *Agent
 	follower *config.Follower
 	hosts    infra.HostList
 	weights  infra.WeightStore
-	done     map[string]uint64 // model -> fence of the order that was carried out
+	applied  map[string]uint64 // model -> fence of the last applied order, plus 1
 	log      logging.Logger
 }
 
-func (o *orderer) reconcile(ctx context.Context) {
-	if o.a.cfg.Engine == nil || !o.follower.Synced() {
+func (r *orderReconciler) reconcile(ctx context.Context) {
+	if r.agent.cfg.Engine == nil || !r.follower.Synced() {
 		return
 	}
 	var models []config.Model
-	o.follower.View(func(s *config.State) { models = s.Models() })
+	r.follower.View(func(s *config.State) { models = s.Models() })
 	for _, m := range models {
-		if o.done[m.Name] >= m.Offset+1 {
+		if r.applied[m.Name] >= m.Offset+1 {
 			continue
 		}
-		if err := o.apply(ctx, m); err != nil {
-			o.log.Warn("order failed", logging.F("model", m.Name), logging.F("error", err.Error()))
+		if err := r.apply(ctx, m); err != nil {
+			r.log.Warn("engine order failed", logging.F("model", m.Name), logging.F("error", err.Error()))
 		}
 	}
 }
 
-// apply brings one model to its version. The old one serves until the new one
-// answers: the engine swaps them on the order, after the weights were fetched.
-func (o *orderer) apply(ctx context.Context, m config.Model) error {
+// apply loads or unloads one model. The weights are fetched before the order, and the
+// engine serves the old version until it has swapped in the new one.
+func (r *orderReconciler) apply(ctx context.Context, m config.Model) error {
 	kind := engine.OrderUnload
-	if o.placedHere(ctx, m) {
+	if r.placedHere(ctx, m) {
 		kind = engine.OrderLoad
-		if err := o.fetch(ctx, m); err != nil {
+		if err := r.fetch(ctx, m); err != nil {
 			return err
 		}
 	}
-	if o.overtaken(m) {
+	if r.superseded(m) {
 		return nil
 	}
-	err := o.a.cfg.Engine.Order(ctx, engine.Order{Kind: kind, Model: m.Name, Version: m.Version, Fence: m.Offset})
+	err := r.agent.cfg.Engine.Order(ctx, engine.Order{Kind: kind, Model: m.Name, Version: m.Version, Fence: m.Offset})
 	if err != nil && !errors.Is(err, engine.ErrStaleFence) {
 		return err
 	}
-	o.done[m.Name] = m.Offset + 1
-	o.a.refreshModels(ctx)
-	o.log.Info("order carried out", logging.F("kind", string(kind)), logging.F("model", m.Name), logging.F("version", m.Version), logging.F("fence", m.Offset))
+	r.applied[m.Name] = m.Offset + 1
+	r.agent.refreshModels(ctx)
+	r.log.Info("engine order applied", logging.F("kind", string(kind)), logging.F("model", m.Name), logging.F("version", m.Version), logging.F("fence", m.Offset))
 	return nil
 }
 
-// fetch loads weights unless the engine was started with this model and no
-// order was ever given.
-func (o *orderer) fetch(ctx context.Context, m config.Model) error {
-	loaded, err := o.a.cfg.Engine.Models(ctx)
+// fetch downloads the weights of a model. It skips them when the model has had no
+// earlier version and the engine has loaded it already, as at its start.
+func (r *orderReconciler) fetch(ctx context.Context, m config.Model) error {
+	loaded, err := r.agent.cfg.Engine.Models(ctx)
 	if err != nil {
 		return err
 	}
 	if m.Previous == "" && slices.Contains(loaded, m.Name) {
 		return nil
 	}
-	_, err = o.weights.Fetch(ctx, m.Name, m.Version)
+	_, err = r.weights.Fetch(ctx, m.Name, m.Version)
 	return err
 }
 
-// overtaken reports whether a newer record changed the model while its weights
-// were being fetched. An order for the old version would then go back.
-func (o *orderer) overtaken(m config.Model) bool {
+// superseded reports whether a newer record changed the model while its weights were
+// being fetched. An order for the old version would then revert the change.
+func (r *orderReconciler) superseded(m config.Model) bool {
 	newer := false
-	o.follower.View(func(s *config.State) {
+	r.follower.View(func(s *config.State) {
 		now, ok := s.Model(m.Name)
 		newer = ok && now.Offset > m.Offset
 	})
 	return newer
 }
 
-// placedHere says whether this target serves a model: all do, or the number that
-// the configuration names, chosen by rendezvous hashing over the host list.
-func (o *orderer) placedHere(ctx context.Context, m config.Model) bool {
+// placedHere reports whether this target serves a model. Without a number of replicas
+// all targets serve it; otherwise rendezvous hashing over the host list selects them.
+func (r *orderReconciler) placedHere(ctx context.Context, m config.Model) bool {
 	if m.Replicas == 0 {
 		return true
 	}
-	list, err := o.hosts.Hosts(ctx)
+	list, err := r.hosts.Hosts(ctx)
 	if err != nil {
-		// Without the list nothing moves.
-		return o.done[m.Name] > 0
+		// Without the host list, a model that has had an order here is kept.
+		return r.applied[m.Name] > 0
 	}
 	var agents []string
 	for _, h := range list {
@@ -147,5 +147,5 @@
 			agents = append(agents, h.Name)
 		}
 	}
-	return slices.Contains(routing.Top(agents, routing.PrefixKey("model", m.Name), m.Replicas), o.a.cfg.Name)
+	return slices.Contains(routing.Top(agents, routing.PrefixKey("model", m.Name), m.Replicas), r.agent.cfg.Name)
 }
--- a/agent/request.go
+++ b/agent/request.go
@@ -16,29 +16,30 @@
 	"pumiceford/wire"
 )
 
-// request is one online request at the agent. Agent.mu guards all fields but
+// request is one online request at the agent. Agent.mu guards all fields except
 // answer, which has its own lock.
 type request struct {
-	start      *wire.Start
-	entry      *admission.Entry
-	life       *online.Life
-	answer     *online.Answer
-	deadline   time.Time
-	running    bool
-	stop       context.CancelFunc // set while running
-	stopped    bool               // revoked by its caller
-	finishedAt time.Time
-	readers    int
-	alone      time.Time // when the last reader left
+	start       *wire.Start
+	entry       *admission.Entry
+	lifecycle   *online.Life
+	answer      *online.Answer
+	deadline    time.Time
+	running     bool
+	stop        context.CancelFunc // set while running
+	revoked     bool
+	finishedAt  time.Time
+	readers     int
+	unreadSince time.Time // when the last reader left
 }
 
-// charsPerToken estimates prompt tokens for admission.
+// charsPerToken is the assumed average for the estimate of prompt tokens.
 const charsPerToken = 4
 
-// kvBlockTokens is how many tokens one KV block holds in admission's sums.
+// kvBlockTokens is the number of tokens in one KV block.
 const kvBlockTokens = 16
 
-func estimate(prompt string, maxTokens uint32) (cost float64, blocks int) {
+// estimateCost returns the expected tokens and KV blocks of a generation.
+func estimateCost(prompt string, maxTokens uint32) (cost float64, blocks int) {
 	tokens := len(prompt)/charsPerToken + 1 + int(maxTokens)
 	return float64(tokens), (tokens + kvBlockTokens - 1) / kvBlockTokens
 }
@@ -50,38 +51,40 @@
 func (a *Agent) handleStart(ctx context.Context, s *wire.Start, st *link.Stream) {
 	r, fail := a.admit(s)
 	if fail != nil {
-		// The stream may be gone; the entry then learns the truth by Revoke.
+		// The stream may be closed; the entry then asks by Revoke whether the
+		// request ran.
 		_ = st.Send(&wire.Frame{Id: s.GetId(), Kind: &wire.Frame_Failure{Failure: fail.ToWire()}})
 		return
 	}
-	a.decide()
-	a.pump(ctx, r, 0, st)
+	a.schedule()
+	a.streamAnswer(ctx, r, 0, st)
 }
 
-// admit takes a new request, or finds the one that is there under its id.
+// admit queues a new request, or returns the existing one with the same ID. The caller
+// must call removeReader for the returned request.
 func (a *Agent) admit(s *wire.Start) (*request, *apierr.Error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	id := string(s.GetId())
 	if inc, ok := oplog.IncarnationFrom(s.GetAgentIncarnation()); !ok || inc != a.cfg.Incarnation {
-		// A start meant for an earlier run of this process may have been started
-		// there. Accepting it here could run it twice.
+		// The request may already have run in an earlier incarnation of this agent.
+		// Accepting it here could run it twice.
 		return nil, apierr.New(apierr.CodeWrongIncarnation, "this agent was restarted")
 	}
 	if r := a.requests[id]; r != nil {
 		r.readers++
 		return r, nil
 	}
-	if t, ok := a.tombs[id]; ok {
+	if t, ok := a.tombstones[id]; ok {
 		return nil, t.failure()
 	}
-	if err := a.refusal(s); err != nil {
-		a.buryLocked(id, wire.Ran_RAN_NO)
+	if err := a.rejectReason(s); err != nil {
+		a.addTombstoneLocked(id, wire.Ran_RAN_NO)
 		return nil, err
 	}
 	r := a.newRequest(s)
 	if !a.adm.Offer(time.Now(), r.entry) {
-		a.buryLocked(id, wire.Ran_RAN_NO)
+		a.addTombstoneLocked(id, wire.Ran_RAN_NO)
 		return nil, apierr.New(apierr.CodeOverloaded, "no seat before the deadline").After(a.adm.RetryAfter())
 	}
 	a.requests[id] = r
@@ -89,9 +92,10 @@
 	return r, nil
 }
 
-// refusal returns why a request cannot be taken at all.
-func (a *Agent) refusal(s *wire.Start) *apierr.Error {
-	if a.closing() {
+// rejectReason returns the error for a request that cannot run on this target, nil for
+// others. Agent.mu must be held.
+func (a *Agent) rejectReason(s *wire.Start) *apierr.Error {
+	if a.draining() {
 		return apierr.New(apierr.CodeLeaving, "target is leaving")
 	}
 	if s.GetService() != "" {
@@ -111,12 +115,12 @@
 func (a *Agent) newRequest(s *wire.Start) *request {
 	timeout := min(time.Duration(s.GetTimeoutMs())*time.Millisecond, MaxTimeout)
 	deadline := time.Now().Add(timeout)
-	cost, blocks := estimate(s.GetPrompt(), s.GetMaxTokens())
+	cost, blocks := estimateCost(s.GetPrompt(), s.GetMaxTokens())
 	return &request{
-		start:    s,
-		life:     online.NewLife(),
-		answer:   online.NewAnswer(s.GetId()),
-		deadline: deadline,
+		start:     s,
+		lifecycle: online.NewLife(),
+		answer:    online.NewAnswer(s.GetId()),
+		deadline:  deadline,
 		entry: &admission.Entry{
 			ID:        string(s.GetId()),
 			Class:     admission.Online,
@@ -129,13 +133,13 @@
 	}
 }
 
-// buryLocked refuses an id from now on. A late copy of the start must not run
-// after its caller was told that it did not.
-func (a *Agent) buryLocked(id string, ran wire.Ran) {
-	a.tombs[id] = tombstone{until: time.Now().Add(a.cfg.TombstoneKeep), ran: ran}
+// addTombstoneLocked refuses an ID for TombstoneRetention. A delayed start must not run
+// after its caller has been told that the request did not run.
+func (a *Agent) addTombstoneLocked(id string, ran wire.Ran) {
+	a.tombstones[id] = tombstone{until: time.Now().Add(a.cfg.TombstoneRetention), ran: ran}
 }
 
-// tombstone remembers an id that must not start any more, and whether it ran.
+// tombstone marks an ID that must not start any more and records whether it ran.
 type tombstone struct {
 	until time.Time
 	ran   wire.Ran
@@ -160,18 +164,18 @@
 		_ = st.Send(&wire.Frame{Id: at.GetId(), Kind: &wire.Frame_Failure{Failure: fail.ToWire()}})
 		return
 	}
-	a.pump(ctx, r, at.GetFromSeq(), st)
+	a.streamAnswer(ctx, r, at.GetFromSeq(), st)
 }
 
-// pump sends the answer's frames from seq on until the answer ends or the reader
-// is gone. A slow reader blocks only this goroutine.
-func (a *Agent) pump(ctx context.Context, r *request, seq uint64, st *link.Stream) {
-	defer a.readerLeft(r)
-	gone := make(chan struct{})
+// streamAnswer sends the frames of an answer, beginning with seq, until the answer ends
+// or the reader leaves. A slow reader blocks only this goroutine.
+func (a *Agent) streamAnswer(ctx context.Context, r *request, seq uint64, st *link.Stream) {
+	defer a.removeReader(r)
+	readerGone := make(chan struct{})
 	go func() {
-		defer close(gone)
-		// The entry sends nothing more; Recv returns when it closes the stream
-		// or the session ends.
+		defer close(readerGone)
+		// The entry sends nothing more. Recv returns when the entry closes the
+		// stream or the session ends.
 		_ = st.Recv(&wire.Frame{})
 	}()
 	for {
@@ -188,7 +192,7 @@
 		}
 		select {
 		case <-changed:
-		case <-gone:
+		case <-readerGone:
 			return
 		case <-ctx.Done():
 			return
@@ -196,12 +200,12 @@
 	}
 }
 
-func (a *Agent) readerLeft(r *request) {
+func (a *Agent) removeReader(r *request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r.readers--
 	if r.readers == 0 {
-		r.alone = time.Now()
+		r.unreadSince = time.Now()
 	}
 }
 
@@ -210,8 +214,8 @@
 	_ = st.Send(&wire.Revoked{Ran: ran})
 }
 
-// revoke gives a request up. What is not started never will be; what is running
-// stops at the engine.
+// revoke cancels a request and returns whether it ran. A request that has not started
+// never starts; a running one is stopped at the engine.
 func (a *Agent) revoke(rv *wire.Revoke) wire.Ran {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -221,16 +225,16 @@
 	}
 	id := string(rv.GetId())
 	r := a.requests[id]
-	if t, ok := a.tombs[id]; ok {
+	if t, ok := a.tombstones[id]; ok {
 		return t.ran
 	}
 	if r == nil {
-		a.buryLocked(id, wire.Ran_RAN_NO)
+		a.addTombstoneLocked(id, wire.Ran_RAN_NO)
 		return wire.Ran_RAN_NO
 	}
-	r.stopped = true
-	if r.life.State() == online.Queued {
-		r.life.Fire(online.TriggerRevoke)
+	r.revoked = true
+	if r.lifecycle.State() == online.Queued {
+		r.lifecycle.Fire(online.TriggerRevoke)
 		a.adm.Finish(time.Now(), r.entry)
 		r.answer.Fail(apierr.New(apierr.CodeNotRun, "revoked before it started").ToWire())
 		r.finishedAt = time.Now()
@@ -239,48 +243,50 @@
 	if r.stop != nil {
 		r.stop()
 	}
-	return r.life.Ran()
+	return r.lifecycle.Ran()
 }
 
-// housekeepRequest drops finished answers and stops requests that nobody reads.
-func (a *Agent) housekeepRequest(now time.Time, id string, r *request) {
+// sweepRequest replaces an expired answer by a tombstone and stops a running request
+// that has had no reader for OrphanTimeout, unless it is non-idempotent. Agent.mu must
+// be held.
+func (a *Agent) sweepRequest(now time.Time, id string, r *request) {
 	if !r.finishedAt.IsZero() {
-		keep := a.cfg.AnswerKeep
+		keep := a.cfg.AnswerRetention
 		if r.start.GetKeepAnswer() {
-			keep = a.cfg.KeyedAnswerKeep
+			keep = a.cfg.KeyedAnswerRetention
 		}
 		if r.readers == 0 && now.After(r.finishedAt.Add(keep)) {
 			delete(a.requests, id)
-			a.buryLocked(id, r.life.Ran())
+			a.addTombstoneLocked(id, r.lifecycle.Ran())
 		}
 		return
 	}
-	orphan := r.readers == 0 && !r.alone.IsZero() && now.After(r.alone.Add(a.cfg.OrphanAfter))
+	orphan := r.readers == 0 && !r.unreadSince.IsZero() && now.After(r.unreadSince.Add(a.cfg.OrphanTimeout))
 	if orphan && r.running && r.stop != nil && !r.start.GetNonIdempotent() {
 		r.stop()
 	}
 }
 
-// runRequest is the worker's part of an online request.
+// runRequest runs an online request in a worker.
 func (a *Agent) runRequest(r *request) {
 	ctx, cancel := context.WithDeadline(a.ctx, r.deadline)
 	defer cancel()
 	a.mu.Lock()
 	r.stop = cancel
-	stopped := r.stopped
+	stopped := r.revoked
 	a.mu.Unlock()
 	if stopped {
 		cancel()
 	}
-	began := time.Now()
+	start := time.Now()
 	if r.start.GetService() != "" {
 		a.runService(ctx, r)
 	} else {
 		a.runModel(ctx, r)
 	}
-	a.cfg.Metrics.Observe("online", r.start.GetWorkspace(), time.Since(began))
+	a.cfg.Metrics.Observe("online", r.start.GetWorkspace(), time.Since(start))
 	a.mu.Lock()
-	r.life.Fire(online.TriggerFinish)
+	r.lifecycle.Fire(online.TriggerFinish)
 	r.finishedAt = time.Now()
 	r.running = false
 	r.stop = nil
@@ -319,7 +325,7 @@
 			r.answer.Fail(engineFailure(ctx, err, wire.Ran_RAN_YES).ToWire())
 			return
 		}
-		last = a.noteChunk(r.entry, last, r.answer.Tokens())
+		last = a.recordChunk(r.entry, last, r.answer.Tokens())
 		if c.Finish != "" {
 			r.answer.End(c.Text, c.Tokens, &wire.End{FinishReason: c.Finish, PromptTokens: c.PromptTokens})
 			return
@@ -328,8 +334,9 @@
 	}
 }
 
-// noteChunk feeds admission with the time between two tokens.
-func (a *Agent) noteChunk(e *admission.Entry, last time.Time, tokens uint32) time.Time {
+// recordChunk reports progress and the time since the last chunk to admission. It
+// returns the present time.
+func (a *Agent) recordChunk(e *admission.Entry, last time.Time, tokens uint32) time.Time {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -340,8 +347,8 @@
 	return now
 }
 
-// engineFailure maps an engine's failure. ran says what is known when the
-// failure itself does not tell.
+// engineFailure maps an error of the engine to an apierr.Error. ran is used where the
+// error does not tell whether the request ran.
 func engineFailure(ctx context.Context, err error, ran wire.Ran) *apierr.Error {
 	fail := func(code apierr.Code, ran wire.Ran) *apierr.Error {
 		return &apierr.Error{Code: code, Message: strings.TrimSpace(err.Error()), Ran: ran}
