--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,4 +1,4 @@
-// Package engine declares the port to a model engine. The platform gives the
+// Package engine defines the interface to a model engine. The platform provides the
 // engines; pumiceford only calls them.
 package engine
 
@@ -9,35 +9,35 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Request is one generation.
+// Request asks for one generation.
 type Request struct {
 	ID         string // unique at the engine while it runs
 	Model      string
 	Prompt     string
 	MaxTokens  uint32
-	ResumeFrom uint32 // tokens already delivered elsewhere; the engine continues behind them
+	ResumeFrom uint32 // tokens already delivered; the engine continues after them
 }
 
-// Chunk is what one engine step gave.
+// Chunk is the output of one engine step.
 type Chunk struct {
 	Text   string
 	Tokens uint32
 	Finish string // not empty in the last chunk
-	// PromptTokens is set in the last chunk.
+	// PromptTokens is set only in the last chunk.
 	PromptTokens uint32
 }
 
 // Stream is a running generation.
 type Stream interface {
-	// Next blocks for the next chunk. After the chunk with Finish set it must
-	// not be called again.
+	// Next waits for the next chunk. It must not be called again after the chunk in
+	// which Finish is set.
 	Next(ctx context.Context) (Chunk, error)
-	// Cancel stops the generation within one engine step. It may be called at
-	// any time and more than once.
+	// Cancel stops the generation within one engine step. It may be called at any
+	// time and repeatedly.
 	Cancel()
 }
 
-// Load is an engine's report, which lags behind.
+// Load is an engine's load report. Its values may be out of date.
 type Load struct {
 	Running  int
 	Queued   int
@@ -47,7 +47,7 @@
 	AsOf     time.Time
 }
 
-// OrderKind is what an order asks for.
+// OrderKind is the kind of an Order.
 type OrderKind string
 
 // The kinds of orders.
@@ -58,8 +58,8 @@
 	OrderRole    OrderKind = "role"
 )
 
-// Order changes what an engine serves. Fence is the offset of the config record
-// that caused it; some engines refuse an order older than one they have seen.
+// Order changes what an engine serves. Fence is the offset of the config record that
+// caused it. Some engines refuse an order with a lower fence than an earlier one.
 type Order struct {
 	Kind    OrderKind `json:"kind"`
 	Model   string    `json:"model"`
@@ -69,33 +69,34 @@
 	Fence   uint64    `json:"fence"`
 }
 
-// Engine is one model engine.
+// Engine is a model engine.
 type Engine interface {
-	// Generate hands a request to the engine. An error other than ErrLost means
+	// Generate starts a request at the engine. An error other than ErrLost means
 	// that the request was not started.
 	Generate(ctx context.Context, req Request) (Stream, error)
-	// Load returns the engine's last report.
+	// Load returns the engine's last load report.
 	Load(ctx context.Context) (Load, error)
-	// Order changes what the engine serves. It returns ErrStaleFence from an
-	// engine that checks fences.
+	// Order changes what the engine serves. An engine that checks fences refuses an
+	// outdated order with ErrStaleFence.
 	Order(ctx context.Context, o Order) error
-	// Models lists the models that are loaded, by name.
+	// Models returns the names of the loaded models.
 	Models(ctx context.Context) ([]string, error)
 }
 
-// Failures of engines.
+// Errors of engines.
 var (
-	// ErrRejected says that the engine can never run this request.
+	// ErrRejected means that the engine can never run this request.
 	ErrRejected = errors.New("engine rejected the request")
-	// ErrBusy says that the engine failed for a reason that may pass.
+	// ErrBusy means that the engine failed temporarily.
 	ErrBusy = errors.New("engine failed, may be tried again")
-	// ErrUnavailable says that the engine takes nothing now. The request was not
-	// started.
+	// ErrUnavailable means that the engine accepts no requests at present. The request
+	// was not started.
 	ErrUnavailable = errors.New("engine unavailable")
-	// ErrLost says that the engine died; what it was running is gone.
+	// ErrLost means that the engine crashed or the connection to it broke. Its running
+	// requests are lost.
 	ErrLost = errors.New("engine lost")
-	// ErrStaleFence says that the order carried an old fencing number.
+	// ErrStaleFence means that the order carried an outdated fence.
 	ErrStaleFence = errors.New("order with an old fencing number")
-	// ErrUnknownModel says that the model is not loaded.
+	// ErrUnknownModel means that the model is not loaded.
 	ErrUnknownModel = errors.New("model not loaded")
 )
--- a/engine/enginehttp/client.go
+++ b/engine/enginehttp/client.go
@@ -1,5 +1,5 @@
-// Package enginehttp reaches a model engine over its OpenAI-compatible HTTP
-// interface with server-sent events.
+// Package enginehttp is the client of a model engine with an OpenAI-compatible HTTP
+// interface and server-sent events.
 package enginehttp
 
 import (
@@ -25,7 +25,7 @@
 	http *client.Client
 }
 
-// New returns a Client for a base URL.
+// New returns a Client for the engine at a base URL.
 func New(base string) (*Client, error) {
 	cl, err := httpx.NewClient()
 	if err != nil {
@@ -34,8 +34,8 @@
 	return &Client{base: base, http: cl}, nil
 }
 
-// CompletionRequest is the body of a completion. RequestID and ResumeFrom are
-// the engines' extensions for cancelling and resuming streams.
+// CompletionRequest is the body of a completion request. RequestID and ResumeFrom are
+// extensions of the engines for cancelling and resuming streams.
 type CompletionRequest struct {
 	Model      string `json:"model"`
 	Prompt     string `json:"prompt"`
@@ -52,21 +52,21 @@
 	Error   *Error   `json:"error,omitempty"`
 }
 
-// Choice is the only choice of a chunk.
+// Choice is the single choice of a chunk.
 type Choice struct {
 	Text         string `json:"text"`
 	Tokens       uint32 `json:"tokens"`
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// Usage counts tokens.
+// Usage holds the token counts of a completion.
 type Usage struct {
 	PromptTokens     uint32 `json:"prompt_tokens"`
 	CompletionTokens uint32 `json:"completion_tokens"`
 	TotalTokens      uint32 `json:"total_tokens"`
 }
 
-// Error is a failure of the engine.
+// Error is an error that the engine reports.
 type Error struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
@@ -82,7 +82,8 @@
 	CodeUnavailable  = "unavailable"
 )
 
-// ErrorFor maps a code to the failure of package engine.
+// ErrorFor maps a code to an error of package engine. An unknown code gives
+// engine.ErrLost.
 func ErrorFor(code string) error {
 	switch code {
 	case CodeRejected:
@@ -99,7 +100,7 @@
 	return engine.ErrLost
 }
 
-// CodeFor maps a failure of package engine to its code.
+// CodeFor maps an error of package engine to its code. Any other error gives CodeLost.
 func CodeFor(err error) string {
 	switch {
 	case errors.Is(err, engine.ErrRejected):
@@ -136,17 +137,17 @@
 		return nil, errors.Mark(err, engine.ErrUnavailable)
 	}
 	if err != nil {
-		// The engine may have received it before the connection broke.
+		// The engine may have received the request before the connection broke.
 		return nil, errors.Mark(err, engine.ErrLost)
 	}
 	if resp.StatusCode() != http.StatusOK {
 		defer protocol.ReleaseResponse(resp)
-		return nil, refusal(resp)
+		return nil, responseError(resp)
 	}
-	return c.stream(r.ID, resp)
+	return c.newStream(r.ID, resp)
 }
 
-func refusal(resp *protocol.Response) error {
+func responseError(resp *protocol.Response) error {
 	data, err := resp.BodyE()
 	if err != nil {
 		return errors.Mark(err, engine.ErrLost)
@@ -158,12 +159,12 @@
 	return ErrorFor(chunk.Error.Code)
 }
 
-func (c *Client) stream(id string, resp *protocol.Response) (engine.Stream, error) {
+func (c *Client) newStream(id string, resp *protocol.Response) (engine.Stream, error) {
 	rd, err := sse.NewReader(resp)
 	if err != nil {
 		return nil, errors.Mark(err, engine.ErrLost)
 	}
-	st := &stream{c: c, id: id, events: make(chan result, 1), stop: make(chan struct{})}
+	st := &stream{client: c, id: id, results: make(chan result, 1), stop: make(chan struct{})}
 	go st.read(rd)
 	return st, nil
 }
@@ -174,23 +175,23 @@
 }
 
 type stream struct {
-	c      *Client
-	id     string
-	events chan result
-	stop   chan struct{}
-	ended  bool // the last chunk or an error was returned
-	cut    bool
+	client    *Client
+	id        string
+	results   chan result
+	stop      chan struct{}
+	ended     bool // the last chunk or an error was returned
+	cancelled bool
 }
 
-// read hands the events over until the stream ends or nobody wants them.
+// read passes the results to Next until the stream ends or is cancelled.
 func (s *stream) read(rd *sse.Reader) {
 	defer func() { _ = rd.Close() }()
 	ev := sse.NewEvent()
 	defer ev.Release()
 	for {
-		r := next(rd, ev)
+		r := readResult(rd, ev)
 		select {
-		case s.events <- r:
+		case s.results <- r:
 		case <-s.stop:
 			return
 		}
@@ -200,9 +201,10 @@
 	}
 }
 
-func next(rd *sse.Reader, ev *sse.Event) result {
+func readResult(rd *sse.Reader, ev *sse.Event) result {
 	if err := rd.Read(ev); err != nil {
-		// An end before the last chunk is a lost engine, never a whole answer.
+		// An EOF before the last chunk means that the engine is lost, not that the
+		// answer is complete.
 		if errors.Is(err, io.EOF) {
 			return result{err: engine.ErrLost}
 		}
@@ -230,7 +232,7 @@
 // Next implements engine.Stream.
 func (s *stream) Next(ctx context.Context) (engine.Chunk, error) {
 	select {
-	case r := <-s.events:
+	case r := <-s.results:
 		s.ended = r.err != nil || r.chunk.Finish != ""
 		return r.chunk, r.err
 	case <-ctx.Done():
@@ -243,19 +245,19 @@
 
 // Cancel implements engine.Stream.
 func (s *stream) Cancel() {
-	if s.cut {
+	if s.cancelled {
 		return
 	}
-	s.cut = true
+	s.cancelled = true
 	close(s.stop)
 	if s.ended {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	// If the engine does not answer, it frees the seat when it notices the
-	// closed connection.
-	_, _, _ = httpx.Call(ctx, s.c.http, http.MethodPost, s.c.base+"/v1/requests/"+s.id+"/cancel", "", nil)
+	// If the engine does not answer, it stops the request when it detects the closed
+	// connection.
+	_, _, _ = httpx.Call(ctx, s.client.http, http.MethodPost, s.client.base+"/v1/requests/"+s.id+"/cancel", "", nil)
 }
 
 // Load implements engine.Engine.
@@ -300,8 +302,8 @@
 	return engine.ErrBusy
 }
 
-// Service calls a plain service over HTTP. It implements the agent's port and
-// never repeats a call.
+// Service calls a plain service over HTTP. It implements agent.Service and never
+// retries a call.
 type Service struct {
 	base string
 	http *client.Client
@@ -316,7 +318,8 @@
 	return &Service{base: base, http: cl}, nil
 }
 
-// Do makes one call.
+// Do implements agent.Service. The content type of the reply is always
+// "application/json".
 func (s *Service) Do(ctx context.Context, method, path string, body []byte) (int, string, []byte, error) {
 	status, data, err := httpx.Call(ctx, s.http, method, s.base+path, "application/json", body)
 	return status, "application/json", data, err
