--- a/config/fold.go
+++ b/config/fold.go
@@ -19,7 +19,7 @@
 // StreamName is the log stream of the configuration.
 const StreamName = "config"
 
-// PlanID names a plan.
+// PlanID identifies a plan.
 type PlanID [16]byte
 
 // String returns the hexadecimal form.
@@ -27,7 +27,7 @@
 	return hex.EncodeToString(id[:])
 }
 
-// ParsePlanID reads the hexadecimal form.
+// ParsePlanID parses the hexadecimal form.
 func ParsePlanID(s string) (PlanID, error) {
 	var id PlanID
 	data, err := hex.DecodeString(s)
@@ -38,37 +38,38 @@
 	return id, nil
 }
 
-// Status is where a plan stands.
+// Status is the status of a plan.
 type Status string
 
 // The statuses of a plan.
 const (
 	Proposed Status = "proposed"
 	Accepted Status = "accepted"
-	Rejected Status = "rejected" // its base was overtaken or a rule forbids it
+	Rejected Status = "rejected" // an aggregate changed after its base, or a rule forbids it
 )
 
-// Plan is a proposed change with what the fold says of it.
+// Plan is a proposed change and its status in the fold.
 type Plan struct {
 	ID        PlanID
 	Author    string
 	Scope     string
-	Base      uint64
+	Base      uint64 // config offset on which the plan is based
 	Intents   []Intent
 	Why       string
 	Time      time.Time
 	Offset    uint64 // of the plan's record
 	Status    Status
-	Decided   uint64 // offset of the record that decided it
-	Reason    string // why it was rejected
-	Confirmed []string
+	Decided   uint64   // offset of the record that accepted or rejected it
+	Reason    string   // why it was rejected
+	Confirmed []string // scopes that confirmed it
 	raw       []byte
 }
 
-// Digest binds a confirm to the content that its operator saw.
+// Digest returns a hash of the ID and the content, which ties a confirm to the content
+// that its operator saw.
 func (p *Plan) Digest() []byte {
 	h := xxhash.New()
-	// A hash in memory takes every write.
+	// Write never fails for a hash.
 	_, _ = h.Write(p.ID[:])
 	_, _ = h.Write(p.raw)
 	return h.Sum(nil)
@@ -76,27 +77,27 @@
 
 // State is the fold of the config stream. It is not safe for concurrent use.
 type State struct {
-	next    uint64
-	dedupe  *oplog.Dedupe
-	tables  tables
-	plans   map[PlanID]*Plan
-	order   []PlanID // plans by offset, oldest first
-	changed map[string]Change
-	keys    map[string]string // key hash -> workspace
+	next           uint64
+	dedupe         *oplog.Dedupe
+	tables         tables
+	plans          map[PlanID]*Plan
+	planOrder      []PlanID          // by offset, oldest first
+	lastChanges    map[string]Change // by aggregate key
+	workspaceByKey map[string]string // key hash -> workspace
 }
 
-// maxPlans bounds the plans remembered, decided ones included.
+// maxPlans bounds the number of plans kept, including decided ones.
 const maxPlans = 2000
 
-// NewState returns the empty configuration. bootstrap is the operator who exists
-// before any record.
+// NewState returns an empty configuration. bootstrap is the operator that exists before
+// any record.
 func NewState(bootstrap Operator) *State {
 	s := &State{
-		dedupe:  oplog.NewDedupe(),
-		tables:  newTables(),
-		plans:   make(map[PlanID]*Plan),
-		changed: make(map[string]Change),
-		keys:    make(map[string]string),
+		dedupe:         oplog.NewDedupe(),
+		tables:         newTables(),
+		plans:          make(map[PlanID]*Plan),
+		lastChanges:    make(map[string]Change),
+		workspaceByKey: make(map[string]string),
 	}
 	if bootstrap.Name != "" {
 		s.tables.Operators[bootstrap.Name] = bootstrap
@@ -107,8 +108,8 @@
 // Next returns the offset of the first record not yet applied.
 func (s *State) Next() uint64 { return s.next }
 
-// Apply folds one record. Records below Next change nothing, so a state never
-// moves back.
+// Apply folds one record. It ignores records below Next, so that a state never goes
+// back to an earlier offset.
 func (s *State) Apply(rec infra.Record) {
 	if rec.Offset < s.next {
 		return
@@ -121,9 +122,9 @@
 	for _, e := range env.GetEntries() {
 		switch k := e.GetKind().(type) {
 		case *wire.Entry_Plan:
-			s.plan(rec, k.Plan)
+			s.applyPlan(rec, k.Plan)
 		case *wire.Entry_Confirm:
-			s.confirm(rec.Offset, k.Confirm)
+			s.applyConfirm(rec.Offset, k.Confirm)
 		}
 	}
 }
@@ -137,7 +138,7 @@
 	return id, true
 }
 
-func (s *State) plan(rec infra.Record, p *wire.ConfigPlan) {
+func (s *State) applyPlan(rec infra.Record, p *wire.ConfigPlan) {
 	id, ok := planIDFrom(p.GetId())
 	if !ok || s.plans[id] != nil {
 		return
@@ -158,23 +159,23 @@
 		Status:  Proposed,
 		raw:     p.GetChanges(),
 	}
-	s.order = append(s.order, id)
-	if len(s.order) > maxPlans {
-		delete(s.plans, s.order[0])
-		s.order = s.order[1:]
+	s.planOrder = append(s.planOrder, id)
+	if len(s.planOrder) > maxPlans {
+		delete(s.plans, s.planOrder[0])
+		s.planOrder = s.planOrder[1:]
 	}
 }
 
-// confirm decides a plan. It counts only when nothing that the plan touches has
-// changed since its base; then of two racing operators the second one gets a
-// conflict instead of silently overriding the first.
-func (s *State) confirm(offset uint64, c *wire.ConfigConfirm) {
+// applyConfirm adds a confirm and accepts or rejects the plan. It rejects the plan if
+// an aggregate of it has changed since its base, so that the second of two concurrent
+// operators gets a conflict instead of silently overriding the first.
+func (s *State) applyConfirm(offset uint64, c *wire.ConfigConfirm) {
 	id, _ := planIDFrom(c.GetPlan())
 	p := s.plans[id]
 	if p == nil || p.Status != Proposed || !bytes.Equal(c.GetDigest(), p.Digest()) {
 		return
 	}
-	if err := s.check(p); err != nil {
+	if err := s.checkPlan(p); err != nil {
 		s.reject(p, offset, err)
 		return
 	}
@@ -182,7 +183,7 @@
 	if !slices.Contains(p.Confirmed, scope) {
 		p.Confirmed = append(p.Confirmed, scope)
 	}
-	if len(s.missing(p)) > 0 {
+	if len(s.missingConfirms(p)) > 0 {
 		return
 	}
 	if err := s.tables.applyAll(p.Intents, offset); err != nil {
@@ -191,8 +192,8 @@
 	}
 	p.Status = Accepted
 	p.Decided = offset
-	for _, key := range touched(p.Intents) {
-		s.changed[key] = Change{Offset: offset, Author: p.Author}
+	for _, key := range touchedAggregates(p.Intents) {
+		s.lastChanges[key] = Change{Offset: offset, Author: p.Author}
 	}
 	s.indexKeys(p.Intents)
 }
@@ -203,41 +204,41 @@
 	p.Reason = apierr.From(err).Message
 }
 
-// check says whether a plan still stands against the present state.
-func (s *State) check(p *Plan) error {
-	for _, key := range touched(p.Intents) {
-		if c, ok := s.changed[key]; ok && c.Offset >= p.Base {
+// checkPlan returns why a plan conflicts with the present state, nil if it does not.
+func (s *State) checkPlan(p *Plan) error {
+	for _, key := range touchedAggregates(p.Intents) {
+		if c, ok := s.lastChanges[key]; ok && c.Offset >= p.Base {
 			return apierr.New(apierr.CodePlanConflict, "%s was changed by %s at offset %d, after the plan was made", key, c.Author, c.Offset)
 		}
 	}
 	for _, i := range p.Intents {
-		if owner, ok := s.keys[i.KeyHash]; i.Kind == AddKey && ok && owner != i.Workspace {
+		if owner, ok := s.workspaceByKey[i.KeyHash]; i.Kind == AddKey && ok && owner != i.Workspace {
 			return apierr.New(apierr.CodePlanConflict, "the key belongs to another workspace")
 		}
 	}
 	return Authorize(p.Scope, p.Intents)
 }
 
-// Authorize checks that a scope may state intents. A workspace's operator acts
-// on that workspace alone.
+// Authorize checks that a scope may state intents. An operator with the scope of a
+// workspace may change only that workspace.
 func Authorize(scope string, intents []Intent) error {
 	if scope == ScopeFleet {
 		return nil
 	}
 	for _, i := range intents {
-		if i.Touches() != "workspace/"+scope || i.Kind == CreateWorkspace {
+		if i.Aggregate() != "workspace/"+scope || i.Kind == CreateWorkspace {
 			return apierr.New(apierr.CodeForbidden, "scope %s may not %s", scope, i)
 		}
 	}
 	return nil
 }
 
-// missing names the scopes whose confirm a plan still needs: somebody of the
-// author's scope, and each workspace that would lose share.
-func (s *State) missing(p *Plan) []string {
-	need := append([]string{p.Scope}, s.tables.losers(p.Intents)...)
+// missingConfirms returns the scopes whose confirm a plan still needs: the author's
+// scope and each workspace that would lose share.
+func (s *State) missingConfirms(p *Plan) []string {
+	required := append([]string{p.Scope}, s.tables.workspacesLosingShare(p.Intents)...)
 	var out []string
-	for _, scope := range need {
+	for _, scope := range required {
 		if !slices.Contains(p.Confirmed, scope) && !slices.Contains(out, scope) {
 			out = append(out, scope)
 		}
@@ -245,36 +246,37 @@
 	return out
 }
 
-// Missing names the scopes whose confirm a proposed plan still needs.
-func (s *State) Missing(p *Plan) []string {
+// MissingConfirms returns the scopes whose confirm a proposed plan still needs. It
+// returns nil for a decided plan.
+func (s *State) MissingConfirms(p *Plan) []string {
 	if p.Status != Proposed {
 		return nil
 	}
-	return s.missing(p)
+	return s.missingConfirms(p)
 }
 
 func (s *State) indexKeys(intents []Intent) {
 	for _, i := range intents {
 		switch i.Kind {
 		case AddKey:
-			s.keys[i.KeyHash] = i.Workspace
+			s.workspaceByKey[i.KeyHash] = i.Workspace
 		case RevokeKey:
-			if s.keys[i.KeyHash] == i.Workspace {
-				delete(s.keys, i.KeyHash)
+			if s.workspaceByKey[i.KeyHash] == i.Workspace {
+				delete(s.workspaceByKey, i.KeyHash)
 			}
 		}
 	}
 }
 
-// Try says what would happen if intents were confirmed now, without changing
-// the state.
-func (s *State) Try(scope string, intents []Intent) (losers []string, err error) {
+// DryRun checks whether a scope's intents could be accepted now, without changing the
+// state. It returns the workspaces that would lose share.
+func (s *State) DryRun(scope string, intents []Intent) (losingShare []string, err error) {
 	if err := Authorize(scope, intents); err != nil {
 		return nil, err
 	}
-	losers = s.tables.losers(intents)
+	losingShare = s.tables.workspacesLosingShare(intents)
 	trial := s.tables.clone()
-	return losers, trial.applyAll(intents, s.next)
+	return losingShare, trial.applyAll(intents, s.next)
 }
 
 func (t *tables) clone() tables {
@@ -295,23 +297,23 @@
 	return out
 }
 
-// Plan returns a plan, nil when it is not known.
+// Plan returns a plan, nil if it does not exist.
 func (s *State) Plan(id PlanID) *Plan { return s.plans[id] }
 
-// History returns the decided plans, newest first, at most limit.
+// History returns at most limit decided plans, newest first.
 func (s *State) History(limit int) []*Plan {
 	var out []*Plan
-	for n := len(s.order) - 1; n >= 0 && len(out) < limit; n-- {
-		if p := s.plans[s.order[n]]; p.Status != Proposed {
+	for n := len(s.planOrder) - 1; n >= 0 && len(out) < limit; n-- {
+		if p := s.plans[s.planOrder[n]]; p.Status != Proposed {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// WorkspaceByKey finds the workspace of a bearer key by the key's hash.
+// WorkspaceByKey returns the workspace of a bearer key with the given hash.
 func (s *State) WorkspaceByKey(hash string) (Workspace, bool) {
-	name, ok := s.keys[hash]
+	name, ok := s.workspaceByKey[hash]
 	if !ok {
 		return Workspace{}, false
 	}
@@ -319,7 +321,7 @@
 	return ws, ok
 }
 
-// OperatorByKey finds an operator by the key's hash.
+// OperatorByKey returns the operator of a bearer key with the given hash.
 func (s *State) OperatorByKey(hash string) (Operator, bool) {
 	for _, op := range s.tables.Operators {
 		if op.KeyHash == hash {
@@ -329,19 +331,19 @@
 	return Operator{}, false
 }
 
-// Workspace returns a workspace.
+// Workspace returns the workspace with the given name.
 func (s *State) Workspace(name string) (Workspace, bool) {
 	ws, ok := s.tables.Workspaces[name]
 	return ws, ok
 }
 
-// Model returns a model.
+// Model returns the model with the given name.
 func (s *State) Model(name string) (Model, bool) {
 	m, ok := s.tables.Models[name]
 	return m, ok
 }
 
-// Models returns all models, by name.
+// Models returns all models, sorted by name.
 func (s *State) Models() []Model {
 	var out []Model
 	for _, m := range s.tables.Models {
@@ -351,32 +353,33 @@
 	return out
 }
 
-// Host returns what operators said of a host.
+// Host returns the operators' settings of a host, zero ones if there are none.
 func (s *State) Host(name string) Host {
 	h := s.tables.Hosts[name]
 	h.Name = name
 	return h
 }
 
-// Harm returns the harm that a deployment tolerates.
+// Harm returns how much longer batch may make an online step of a deployment, as a
+// fraction. It returns false if no policy is set.
 func (s *State) Harm(deployment string) (float64, bool) {
 	h, ok := s.tables.Harm[deployment]
 	return h, ok
 }
 
-// Workspaces returns how many workspaces there are.
+// Workspaces returns the number of workspaces.
 func (s *State) Workspaces() int { return len(s.tables.Workspaces) }
 
-// stored is the JSON form of a snapshot.
-type stored struct {
+// snapshotJSON is the JSON form of a snapshot.
+type snapshotJSON struct {
 	Next    uint64            `json:"next"`
 	Tables  tables            `json:"tables"`
 	Changed map[string]Change `json:"changed"`
-	Plans   []storedPlan      `json:"plans"`
-	Writers []storedWriter    `json:"writers"`
+	Plans   []planJSON        `json:"plans"`
+	Writers []writerJSON      `json:"writers"`
 }
 
-type storedPlan struct {
+type planJSON struct {
 	ID        []byte   `json:"id"`
 	Author    string   `json:"author"`
 	Scope     string   `json:"scope"`
@@ -391,41 +394,41 @@
 	Confirmed []string `json:"confirmed"`
 }
 
-type storedWriter struct {
+type writerJSON struct {
 	Incarnation []byte `json:"incarnation"`
 	Seq         uint64 `json:"seq"`
 	Offset      uint64 `json:"offset"`
 }
 
-// Snapshot returns the whole state for a node that cannot read it from the start.
+// Snapshot encodes the whole state for nodes that cannot read all records.
 func (s *State) Snapshot() ([]byte, error) {
-	out := stored{Next: s.next, Tables: s.tables, Changed: s.changed}
-	for _, id := range s.order {
+	out := snapshotJSON{Next: s.next, Tables: s.tables, Changed: s.lastChanges}
+	for _, id := range s.planOrder {
 		p := s.plans[id]
-		out.Plans = append(out.Plans, storedPlan{
+		out.Plans = append(out.Plans, planJSON{
 			ID: p.ID[:], Author: p.Author, Scope: p.Scope, Base: p.Base, Raw: p.raw, Why: p.Why,
 			TimeMs: p.Time.UnixMilli(), Offset: p.Offset, Status: p.Status, Decided: p.Decided,
 			Reason: p.Reason, Confirmed: p.Confirmed,
 		})
 	}
 	for _, w := range s.dedupe.Snapshot() {
-		out.Writers = append(out.Writers, storedWriter{Incarnation: w.GetIncarnation(), Seq: w.GetSeq(), Offset: w.GetOffset()})
+		out.Writers = append(out.Writers, writerJSON{Incarnation: w.GetIncarnation(), Seq: w.GetSeq(), Offset: w.GetOffset()})
 	}
 	return json.Marshal(out)
 }
 
 // Restore builds a state from a snapshot.
 func Restore(data []byte) (*State, error) {
-	var in stored
+	var in snapshotJSON
 	if err := json.Unmarshal(data, &in); err != nil {
 		return nil, apierr.New(apierr.CodeInternal, "config snapshot: %v", err)
 	}
 	s := NewState(Operator{})
 	s.next = in.Next
 	s.tables = in.Tables
-	s.changed = in.Changed
-	if s.changed == nil {
-		s.changed = make(map[string]Change)
+	s.lastChanges = in.Changed
+	if s.lastChanges == nil {
+		s.lastChanges = make(map[string]Change)
 	}
 	for _, p := range in.Plans {
 		id, ok := planIDFrom(p.ID)
@@ -441,7 +444,7 @@
 			Time: time.UnixMilli(p.TimeMs), Offset: p.Offset, Status: p.Status, Decided: p.Decided,
 			Reason: p.Reason, Confirmed: p.Confirmed, raw: p.Raw,
 		}
-		s.order = append(s.order, id)
+		s.planOrder = append(s.planOrder, id)
 	}
 	var writers []*wire.WriterState
 	for _, w := range in.Writers {
@@ -450,7 +453,7 @@
 	s.dedupe.Restore(writers)
 	for name, ws := range s.tables.Workspaces {
 		for _, hash := range ws.Keys {
-			s.keys[hash] = name
+			s.workspaceByKey[hash] = name
 		}
 	}
 	return s, nil
--- a/config/fold_test.go
+++ b/config/fold_test.go
@@ -15,28 +15,28 @@
 	"pumiceford/wire"
 )
 
-// oracle is what the oracle knows of the configuration: who may claim which
-// share, from the confirms that it accepted itself.
+// oracle is a model of the configuration for tests. It holds the shares that follow
+// from the confirms that it accepted itself.
 type oracle struct {
-	shares  map[string]float64
-	changed map[string]int // workspace -> number of the confirm that changed it last
-	count   int
+	shares   map[string]float64
+	changed  map[string]int // workspace -> number of the accepted confirm that changed it last
+	accepted int            // number of accepted confirms
 }
 
 type oraclePlan struct {
-	id      PlanID
-	scope   string
-	base    int
-	intents []Intent
-	scopes  map[string]bool
-	decided bool
-	ok      bool
-	content []byte
+	id          PlanID
+	scope       string
+	base        int
+	intents     []Intent
+	confirmedBy map[string]bool
+	decided     bool
+	accepted    bool
+	content     []byte
 }
 
-// confirm applies the promises alone: a plan whose base was overtaken is
-// refused, shares never sum over the fleet, and nobody loses share without its
-// own confirm.
+// confirm applies the rules of the configuration: a plan is rejected if a workspace of
+// it has changed after its base, shares never sum to more than the fleet, and no
+// workspace loses share without its own confirm.
 func (o *oracle) confirm(p *oraclePlan, scope string) {
 	if p.decided {
 		return
@@ -47,7 +47,7 @@
 			return
 		}
 	}
-	p.scopes[scope] = true
+	p.confirmedBy[scope] = true
 	next := map[string]float64{}
 	for ws, s := range o.shares {
 		next[ws] = s
@@ -55,11 +55,11 @@
 	for _, i := range p.intents {
 		next[i.Workspace] = i.Share
 	}
-	if !p.scopes[p.scope] {
+	if !p.confirmedBy[p.scope] {
 		return
 	}
 	for ws, s := range next {
-		if s < o.shares[ws] && !p.scopes[ws] {
+		if s < o.shares[ws] && !p.confirmedBy[ws] {
 			return
 		}
 	}
@@ -68,14 +68,14 @@
 	for _, s := range next {
 		sum += s
 	}
-	if sum > 1+shareSlack {
+	if sum > 1+shareTolerance {
 		return
 	}
-	o.count++
-	p.ok = true
+	o.accepted++
+	p.accepted = true
 	o.shares = next
 	for _, i := range p.intents {
-		o.changed[i.Workspace] = o.count
+		o.changed[i.Workspace] = o.accepted
 	}
 }
 
@@ -103,7 +103,7 @@
 	p := m.propose(ScopeFleet, intents)
 	m.confirm(p, ScopeFleet)
 	p.decided = true
-	m.oracle.count, m.oracle.changed = 0, map[string]int{}
+	m.oracle.accepted, m.oracle.changed = 0, map[string]int{}
 	return m
 }
 
@@ -124,7 +124,7 @@
 	if err != nil {
 		panic(err)
 	}
-	p := &oraclePlan{id: PlanID(oplog.NewIncarnation()), scope: scope, base: m.oracle.count, intents: intents, scopes: map[string]bool{}, content: raw}
+	p := &oraclePlan{id: PlanID(oplog.NewIncarnation()), scope: scope, base: m.oracle.accepted, intents: intents, confirmedBy: map[string]bool{}, content: raw}
 	m.append(&wire.Entry{Kind: &wire.Entry_Plan{Plan: &wire.ConfigPlan{Id: p.id[:], AuthorScope: scope, Author: scope, Base: m.state.Next(), Changes: raw}}})
 	return p
 }
@@ -138,7 +138,7 @@
 	return rapid.SampledFrom(append([]string{ScopeFleet}, testWorkspaces...)).Draw(t, "scope")
 }
 
-// Plan states intents on shares.
+// Plan proposes changes of shares.
 func (m *configMachine) Plan(t *rapid.T) {
 	intents := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) Intent {
 		return Intent{Kind: SetShare, Workspace: rapid.SampledFrom(testWorkspaces).Draw(t, "workspace"), Share: float64(rapid.IntRange(0, 10).Draw(t, "share")) / 10}
@@ -146,7 +146,7 @@
 	m.plans = append(m.plans, m.propose(drawScope(t), intents))
 }
 
-// Confirm confirms a plan in some scope, also one that is decided.
+// Confirm confirms a plan in some scope, even if the plan is already decided.
 func (m *configMachine) Confirm(t *rapid.T) {
 	if len(m.plans) == 0 {
 		t.Skip("no plan")
@@ -154,8 +154,9 @@
 	m.confirm(rapid.SampledFrom(m.plans).Draw(t, "plan"), drawScope(t))
 }
 
-// WrongDigest confirms a plan with another content; it counts for nothing.
-func (m *configMachine) WrongDigest(t *rapid.T) {
+// ConfirmWrongDigest confirms a plan with a digest of other content, which must have no
+// effect.
+func (m *configMachine) ConfirmWrongDigest(t *rapid.T) {
 	if len(m.plans) == 0 {
 		t.Skip("no plan")
 	}
@@ -163,8 +164,8 @@
 	m.append(&wire.Entry{Kind: &wire.Entry_Confirm{Confirm: &wire.ConfigConfirm{Plan: p.id[:], AuthorScope: ScopeFleet, Digest: []byte("another")}}})
 }
 
-// Follow moves a node on, or gives it records that it has already, or restarts it
-// from a snapshot. It never moves back.
+// Follow applies new or already applied records to a node, or restarts it from a
+// snapshot. The node must never go back to an earlier offset.
 func (m *configMachine) Follow(t *rapid.T) {
 	n := rapid.IntRange(0, len(m.nodes)-1).Draw(t, "node")
 	node := m.nodes[n]
@@ -188,11 +189,11 @@
 		}
 	}
 	if m.nodes[n].Next() < before {
-		t.Fatalf("node %d moved from %d back to %d", n, before, m.nodes[n].Next())
+		t.Fatalf("node %d went back from offset %d to %d", n, before, m.nodes[n].Next())
 	}
 }
 
-// Check compares the fold with the oracle, and nodes that have caught up with it.
+// Check compares the fold, and each node that has caught up, with the oracle.
 func (m *configMachine) Check(t *rapid.T) {
 	m.compare(t, m.state)
 	for n, node := range m.nodes {
@@ -212,7 +213,7 @@
 		got := s.Plan(p.id)
 		want := Proposed
 		switch {
-		case p.ok:
+		case p.accepted:
 			want = Accepted
 		case p.decided:
 			want = Rejected
@@ -221,21 +222,21 @@
 			t.Fatalf("plan %s by %s is %s (%s), want %s", p.content, p.scope, got.Status, got.Reason, want)
 		}
 		if string(got.raw) != string(p.content) {
-			t.Fatalf("content of a plan changed to %s", got.raw)
+			t.Fatalf("content of a plan changed to %s in the fold", got.raw)
 		}
 	}
 }
 
-// Symptom: one council's change silently overrides another's, shares sum over the
-// fleet, a workspace loses share without its word, or a node's configuration goes
-// back. Sequence: operators race with plans and confirms, confirms are sent again
-// or with another content, nodes read copies, and restart from snapshots. Cause
-// guarded against: confirms that are judged by anything but the fold.
-func TestConfigAgainstOracle(t *testing.T) {
+// Guards against a change that silently overrides a concurrent one, shares that sum to
+// more than the fleet, a workspace that loses share without its confirm, and a node
+// whose configuration goes back. These come about when anything but the fold decides on
+// confirms: operators race, confirms are repeated or carry another content, and nodes
+// read duplicate records or restart from snapshots.
+func TestFoldMatchesOracle(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newConfigMachine()
 		rt.Repeat(map[string]func(*rapid.T){
-			"plan": m.Plan, "confirm": m.Confirm, "confirm more": m.Confirm, "wrong digest": m.WrongDigest, "follow": m.Follow, "": m.Check,
+			"plan": m.Plan, "confirm": m.Confirm, "confirm more": m.Confirm, "wrong digest": m.ConfirmWrongDigest, "follow": m.Follow, "": m.Check,
 		})
 	})
 }
@@ -248,11 +249,11 @@
 		intents, err := DecodeIntents(data)
 		var fail *apierr.Error
 		if err != nil && !errors.As(err, &fail) {
-			t.Fatalf("untyped failure %v", err)
+			t.Fatalf("error is not an *apierr.Error: %v", err)
 		}
 		for _, i := range intents {
-			if i.Touches() == "" || fmt.Sprint(i) == "" {
-				t.Fatalf("accepted %+v", i)
+			if i.Aggregate() == "" || fmt.Sprint(i) == "" {
+				t.Fatalf("decoded intent has no aggregate or no text: %+v", i)
 			}
 		}
 	})
--- a/config/follower.go
+++ b/config/follower.go
@@ -17,75 +17,76 @@
 	"pumiceford/wire"
 )
 
-// FetchFunc asks some peer for config records from an offset on.
+// FetchFunc fetches config records from a peer, beginning with an offset.
 type FetchFunc func(ctx context.Context, from uint64) (*wire.ConfigRecords, error)
 
-// Follower keeps a State up to date from the log, or from peers while the log
-// does not answer. The state only moves to higher offsets.
+// Follower keeps a State up to date from the log, or from peers while the log does not
+// answer. The state never goes back to a lower offset.
 type Follower struct {
-	log      infra.Log
-	inc      oplog.Incarnation
-	boot     Operator
-	logger   logging.Logger
-	pollWait time.Duration
+	log       infra.Log
+	inc       oplog.Incarnation
+	bootstrap Operator
+	logger    logging.Logger
+	pollWait  time.Duration
 
-	writing chan struct{} // a semaphore of one, taken before mu; its holder waits for the log
-	stream  *oplog.Stream
+	writeSem chan struct{} // binary semaphore, acquired before mu; its holder may wait for the log
+	stream   *oplog.Stream
 
 	mu      sync.RWMutex
 	state   *State
-	synced  bool // the state is known to have reached some verified tail
-	recent  []*wire.LogRecord
-	changed chan struct{}
+	synced  bool              // the state has reached the tail of the log once, or came from a peer
+	recent  []*wire.LogRecord // the last records, for peers
+	changed chan struct{}     // closed and replaced at each change
 	fetch   FetchFunc
 }
 
-// recentRecords is how many records a node keeps for its peers.
-const recentRecords = 1024
+// maxRecentRecords bounds the records that a node keeps for its peers.
+const maxRecentRecords = 1024
 
-// DefaultPollWait is how long one read waits for a new record at the log.
-// A log that hangs is noticed after it and one call's time-out, within the 15 s in
-// which a change must be in force.
+// DefaultPollWait is how long one read waits at the log for a new record. The follower
+// detects a log that hangs after DefaultPollWait and the time-out of one call, which
+// together are below the 15 s within which a change must be in force.
 const DefaultPollWait = 5 * time.Second
 
 // NewFollower returns a Follower. Run starts it.
 func NewFollower(log infra.Log, inc oplog.Incarnation, bootstrap Operator, logger logging.Logger) *Follower {
 	f := &Follower{
-		log:      log,
-		inc:      inc,
-		boot:     bootstrap,
-		logger:   logger.Part("config"),
-		state:    NewState(bootstrap),
-		changed:  make(chan struct{}),
-		writing:  make(chan struct{}, 1),
-		pollWait: DefaultPollWait,
+		log:       log,
+		inc:       inc,
+		bootstrap: bootstrap,
+		logger:    logger.Part("config"),
+		state:     NewState(bootstrap),
+		changed:   make(chan struct{}),
+		writeSem:  make(chan struct{}, 1),
+		pollWait:  DefaultPollWait,
 	}
 	f.stream = oplog.NewStream(log, StreamName, inc, 0, f.apply)
 	return f
 }
 
-// SetFetch sets how to ask peers.
+// SetFetch sets the function that fetches records from peers.
 func (f *Follower) SetFetch(fetch FetchFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fetch = fetch
 }
 
-// View calls fn with the present state under a read lock. fn must not keep it.
+// View calls fn with the present state under a read lock. fn must not retain it.
 func (f *Follower) View(fn func(*State)) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	fn(f.state)
 }
 
-// Offset returns the offset that the state has reached.
+// Offset returns the offset of the first record that the state has not applied.
 func (f *Follower) Offset() uint64 {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.state.Next()
 }
 
-// Synced reports whether the node has a configuration and may serve.
+// Synced reports whether the state has reached the tail of the log once or came from a
+// peer, so that the node may serve.
 func (f *Follower) Synced() bool {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -111,8 +112,8 @@
 	}
 	f.state.Apply(rec)
 	f.recent = append(f.recent, &wire.LogRecord{Offset: rec.Offset, Data: rec.Data, TimeMs: rec.Time.UnixMilli()})
-	if len(f.recent) > recentRecords {
-		f.recent = f.recent[len(f.recent)-recentRecords:]
+	if len(f.recent) > maxRecentRecords {
+		f.recent = f.recent[len(f.recent)-maxRecentRecords:]
 	}
 	f.notify()
 }
@@ -131,7 +132,7 @@
 	}
 }
 
-// Run follows until ctx ends.
+// Run follows the config stream until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := f.poll(ctx)
@@ -142,45 +143,45 @@
 		case errors.As(err, &trimmed):
 			f.recoverTrimmed(ctx, trimmed)
 		default:
-			f.askPeers(ctx)
-			_ = wait.For(ctx, peerPause)
+			f.fetchFromPeers(ctx)
+			_ = wait.For(ctx, peerRetryDelay)
 		}
 	}
 }
 
-// peerPause is the wait between rounds while the log does not answer.
-const peerPause = 500 * time.Millisecond
+// peerRetryDelay is the delay between attempts while the log does not answer.
+const peerRetryDelay = 500 * time.Millisecond
 
-// poll reads from the log. The read waits without holding the writing semaphore, so that a
-// writer does not wait behind it.
+// poll reads new records from the log. It waits for them without writeSem, so that it
+// does not delay writers.
 func (f *Follower) poll(ctx context.Context) error {
 	readCtx, cancel := context.WithTimeout(ctx, f.pollWait+f.stream.CallTimeout)
 	defer cancel()
-	page, err := f.log.Read(readCtx, StreamName, f.Offset(), pollBytes, f.pollWait)
+	page, err := f.log.Read(readCtx, StreamName, f.Offset(), maxReadBytes, f.pollWait)
 	if err != nil {
 		return err
 	}
-	f.writing <- struct{}{}
-	defer func() { <-f.writing }()
+	f.writeSem <- struct{}{}
+	defer func() { <-f.writeSem }()
 	for _, rec := range page.Records {
 		f.apply(rec)
 	}
 	if f.Offset() < page.Tail {
-		return f.catchup(ctx)
+		return f.catchUp(ctx)
 	}
 	return nil
 }
 
-const pollBytes = 1 << 20
+const maxReadBytes = 1 << 20
 
-// catchup reads to the tail; the writing semaphore must be held.
-func (f *Follower) catchup(ctx context.Context) error {
+// catchUp reads to the tail. writeSem must be held.
+func (f *Follower) catchUp(ctx context.Context) error {
 	f.stream.Skip(f.Offset())
 	return f.stream.Catchup(ctx)
 }
 
-// askPeers takes records from a peer that is ahead.
-func (f *Follower) askPeers(ctx context.Context) {
+// fetchFromPeers fetches and applies the records of a peer that is ahead.
+func (f *Follower) fetchFromPeers(ctx context.Context) {
 	f.mu.RLock()
 	fetch := f.fetch
 	f.mu.RUnlock()
@@ -188,25 +189,25 @@
 		return
 	}
 	from := f.Offset()
-	got, err := fetch(ctx, from)
+	reply, err := fetch(ctx, from)
 	if err != nil {
 		return
 	}
-	if err := f.takePeer(got); err != nil {
-		f.logger.Warn("peer's configuration refused", logging.F("error", err.Error()))
+	if err := f.applyFromPeer(reply); err != nil {
+		f.logger.Warn("configuration from a peer rejected", logging.F("error", err.Error()))
 	}
 }
 
-// takePeer applies a peer's records, or its snapshot when it is ahead of ours.
-func (f *Follower) takePeer(got *wire.ConfigRecords) error {
+// applyFromPeer applies a peer's records, or its snapshot if that is ahead of the state.
+func (f *Follower) applyFromPeer(reply *wire.ConfigRecords) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(got.GetSnapshot()) > 0 {
-		if err := f.installLocked(got.GetSnapshot()); err != nil {
+	if len(reply.GetSnapshot()) > 0 {
+		if err := f.installSnapshotLocked(reply.GetSnapshot()); err != nil {
 			return err
 		}
 	}
-	for _, r := range got.GetRecords() {
+	for _, r := range reply.GetRecords() {
 		if r.GetOffset() != f.state.Next() {
 			continue
 		}
@@ -219,9 +220,9 @@
 	return nil
 }
 
-// installLocked replaces the state by a snapshot that is ahead of it. One that is
-// not is ignored: going back would revert an accepted configuration.
-func (f *Follower) installLocked(data []byte) error {
+// installSnapshotLocked replaces the state by a snapshot that is ahead of it. It ignores
+// other snapshots, since an older one would revert an accepted configuration.
+func (f *Follower) installSnapshotLocked(data []byte) error {
 	s, err := Restore(data)
 	if err != nil {
 		return err
@@ -235,27 +236,28 @@
 	return nil
 }
 
-// recoverTrimmed starts from the newest snapshot on the log.
+// recoverTrimmed restores the newest snapshot in the log after the records at the
+// follower's offset were trimmed. Without one it asks the peers.
 func (f *Follower) recoverTrimmed(ctx context.Context, trimmed *infra.TrimmedError) {
 	data, err := findSnapshot(ctx, f.log, trimmed)
 	if err != nil || data == nil {
-		f.askPeers(ctx)
-		_ = wait.For(ctx, peerPause)
+		f.fetchFromPeers(ctx)
+		_ = wait.For(ctx, peerRetryDelay)
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.installLocked(data); err != nil {
-		f.logger.Error("config snapshot is damaged", logging.F("error", err.Error()))
+	if err := f.installSnapshotLocked(data); err != nil {
+		f.logger.Error("config snapshot in the log is corrupt", logging.F("error", err.Error()))
 	}
 }
 
-// findSnapshot returns the newest complete snapshot that is still kept.
+// findSnapshot returns the newest complete snapshot in the log, nil if there is none.
 func findSnapshot(ctx context.Context, log infra.Log, trimmed *infra.TrimmedError) ([]byte, error) {
 	parts := make(map[uint64][][]byte)
-	var best []byte
+	var newest []byte
 	for from := trimmed.Earliest; from < trimmed.Tail; {
-		page, err := log.Read(ctx, StreamName, from, pollBytes, 0)
+		page, err := log.Read(ctx, StreamName, from, maxReadBytes, 0)
 		if err != nil {
 			return nil, err
 		}
@@ -263,15 +265,17 @@
 			break
 		}
 		for _, rec := range page.Records {
-			if whole := addSnapshotPart(parts, rec); whole != nil {
-				best = whole
+			if snapshot := addSnapshotPart(parts, rec); snapshot != nil {
+				newest = snapshot
 			}
 		}
 		from = page.Records[len(page.Records)-1].Offset + 1
 	}
-	return best, nil
+	return newest, nil
 }
 
+// addSnapshotPart collects the snapshot parts of a record by the snapshot's offset. It
+// returns the snapshot that the record completes.
 func addSnapshotPart(parts map[uint64][][]byte, rec infra.Record) []byte {
 	env, _, ok := oplog.Decode(rec.Data)
 	if !ok {
@@ -284,24 +288,24 @@
 		}
 		parts[c.GetNext()] = append(parts[c.GetNext()], c.GetData())
 		if uint32(len(parts[c.GetNext()])) == c.GetParts() {
-			var whole []byte
+			var snapshot []byte
 			for _, p := range parts[c.GetNext()] {
-				whole = append(whole, p...)
+				snapshot = append(snapshot, p...)
 			}
-			return whole
+			return snapshot
 		}
 	}
 	return nil
 }
 
-// snapshotPartBytes is the size of one part of a config snapshot.
+// snapshotPartBytes is the largest size of one part of a config snapshot.
 const snapshotPartBytes = 512 << 10
 
-// WriteSnapshot appends the present state, so that the records before it may be
-// trimmed. Any node may do it; two copies do no harm.
+// WriteSnapshot appends the present state to the log, so that earlier records may be
+// trimmed. Any node may call it; duplicate snapshots are harmless.
 func (f *Follower) WriteSnapshot(ctx context.Context) error {
-	f.writing <- struct{}{}
-	defer func() { <-f.writing }()
+	f.writeSem <- struct{}{}
+	defer func() { <-f.writeSem }()
 	f.mu.RLock()
 	next := f.state.Next()
 	data, err := f.state.Snapshot()
@@ -323,14 +327,15 @@
 	return nil
 }
 
-// write appends one entry and reads it back; the writing semaphore must be held.
+// write appends one entry and reads it back. writeSem must be held.
 func (f *Follower) write(ctx context.Context, entry *wire.Entry) error {
 	f.stream.Skip(f.Offset())
 	_, err := f.stream.Write(ctx, 0, []*wire.Entry{entry})
 	return err
 }
 
-// Records answers a peer.
+// Records returns the records from an offset on for a peer, or a snapshot if some of
+// them are no longer kept.
 func (f *Follower) Records(from uint64) *wire.ConfigRecords {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -349,7 +354,7 @@
 	return out
 }
 
-// PlanView is a plan as operators see it.
+// PlanView is the form of a plan in operators' responses.
 type PlanView struct {
 	ID        string   `json:"id"`
 	Author    string   `json:"author"`
@@ -366,10 +371,10 @@
 	Digest    string   `json:"digest"`
 }
 
-func view(s *State, p *Plan) PlanView {
+func planView(s *State, p *Plan) PlanView {
 	v := PlanView{
 		ID: p.ID.String(), Author: p.Author, Scope: p.Scope, Why: p.Why, Base: p.Base, Offset: p.Offset,
-		Status: p.Status, Reason: p.Reason, Decided: p.Decided, Missing: s.Missing(p), Confirmed: p.Confirmed,
+		Status: p.Status, Reason: p.Reason, Decided: p.Decided, Missing: s.MissingConfirms(p), Confirmed: p.Confirmed,
 	}
 	v.Digest = hex.EncodeToString(p.Digest())
 	for _, i := range p.Intents {
@@ -378,7 +383,7 @@
 	return v
 }
 
-// Propose writes a plan for intents and returns it once it was read back.
+// Propose appends a plan for intents and returns it after reading it back.
 func (f *Follower) Propose(ctx context.Context, op Operator, why string, intents []Intent) (PlanView, error) {
 	for _, i := range intents {
 		if err := i.Validate(); err != nil {
@@ -389,16 +394,16 @@
 	if err != nil {
 		return PlanView{}, apierr.New(apierr.CodeBadRequest, "intents: %v", err)
 	}
-	f.writing <- struct{}{}
-	defer func() { <-f.writing }()
-	if err := f.catchup(ctx); err != nil {
-		return PlanView{}, logDown(false)
+	f.writeSem <- struct{}{}
+	defer func() { <-f.writeSem }()
+	if err := f.catchUp(ctx); err != nil {
+		return PlanView{}, logUnavailable(false)
 	}
 	id := PlanID(oplog.NewIncarnation())
 	var base uint64
 	f.View(func(s *State) {
 		base = s.Next()
-		_, err = s.Try(op.Scope, intents)
+		_, err = s.DryRun(op.Scope, intents)
 	})
 	if err != nil {
 		return PlanView{}, err
@@ -407,12 +412,12 @@
 		Id: id[:], Author: op.Name, AuthorScope: op.Scope, Base: base, Changes: raw, Why: why, TimeUnixMs: time.Now().UnixMilli(),
 	}}})
 	if err != nil {
-		return PlanView{}, logDown(true)
+		return PlanView{}, logUnavailable(true)
 	}
 	return f.Plan(id)
 }
 
-// Plan returns a plan as operators see it.
+// Plan returns a plan in the form for operators.
 func (f *Follower) Plan(id PlanID) (PlanView, error) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -420,35 +425,35 @@
 	if p == nil {
 		return PlanView{}, apierr.New(apierr.CodeNotFound, "no such plan")
 	}
-	return view(f.state, p), nil
+	return planView(f.state, p), nil
 }
 
-// History returns the decided plans, newest first.
+// History returns at most limit decided plans, newest first.
 func (f *Follower) History(limit int) []PlanView {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	var out []PlanView
 	for _, p := range f.state.History(limit) {
-		out = append(out, view(f.state, p))
+		out = append(out, planView(f.state, p))
 	}
 	return out
 }
 
-// Confirm confirms a plan in the operator's scope. A plan that is decided already
-// is returned as it is, so that a resend of a confirm whose answer was lost gets
-// the same answer. A plan that lost a race is a conflict.
+// Confirm confirms a plan in the operator's scope. It returns a plan that is already
+// decided as it is, so that a retry after a lost response gets the same one. A rejected
+// plan is returned with an error of apierr.CodePlanConflict.
 func (f *Follower) Confirm(ctx context.Context, op Operator, id PlanID, digest string) (PlanView, error) {
-	f.writing <- struct{}{}
-	defer func() { <-f.writing }()
-	if err := f.catchup(ctx); err != nil {
-		return PlanView{}, logDown(false)
+	f.writeSem <- struct{}{}
+	defer func() { <-f.writeSem }()
+	if err := f.catchUp(ctx); err != nil {
+		return PlanView{}, logUnavailable(false)
 	}
 	before, err := f.Plan(id)
 	if err != nil {
 		return PlanView{}, err
 	}
 	if digest != "" && digest != before.Digest {
-		return PlanView{}, apierr.New(apierr.CodePlanConflict, "the plan's content is another one")
+		return PlanView{}, apierr.New(apierr.CodePlanConflict, "the digest does not match the plan's content")
 	}
 	if before.Status == Proposed {
 		if err := f.writeConfirm(ctx, op, id); err != nil {
@@ -468,19 +473,20 @@
 func (f *Follower) writeConfirm(ctx context.Context, op Operator, id PlanID) error {
 	var digest []byte
 	f.View(func(s *State) { digest = s.Plan(id).Digest() })
-	confirm := oplog.NewIncarnation()
+	confirmID := oplog.NewIncarnation()
 	entry := &wire.Entry{Kind: &wire.Entry_Confirm{Confirm: &wire.ConfigConfirm{
-		Id: confirm[:], Plan: id[:], Author: op.Name, AuthorScope: op.Scope, Digest: digest, TimeUnixMs: time.Now().UnixMilli(),
+		Id: confirmID[:], Plan: id[:], Author: op.Name, AuthorScope: op.Scope, Digest: digest, TimeUnixMs: time.Now().UnixMilli(),
 	}}}
 	if err := f.write(ctx, entry); err != nil {
-		return logDown(true)
+		return logUnavailable(true)
 	}
 	return nil
 }
 
-// logDown is what an operator gets while the log does not answer.
-func logDown(appended bool) error {
-	if appended {
+// logUnavailable returns the error for operators while the log does not answer.
+// mayBeAppended means that the outcome of the append is unknown.
+func logUnavailable(mayBeAppended bool) error {
+	if mayBeAppended {
 		return apierr.Unknown(apierr.CodeLogDown, "the platform's log does not answer; ask for the plan's status before trying again").After(time.Second)
 	}
 	return apierr.New(apierr.CodeLogDown, "the platform's log does not answer").After(time.Second)
--- a/config/intent.go
+++ b/config/intent.go
@@ -1,7 +1,7 @@
 // Package config holds the configuration aggregates: workspaces, models, hosts,
-// deployment policy and operators. Their state is a fold over the config stream
-// of the platform's log. An operator states intents, receives a plan, and
-// confirms it; the fold alone decides whether a confirm counts.
+// deployment policies and operators. Their state is a fold over the config stream of
+// the platform's log. An operator states intents, receives a plan and confirms it. Only
+// the fold decides whether a confirm takes effect, so that all nodes agree.
 package config
 
 import (
@@ -17,14 +17,14 @@
 // Kind is the kind of an Intent.
 type Kind string
 
-// The kinds of intents.
+// The kinds of intents, each with the fields that it uses.
 const (
 	CreateWorkspace Kind = "create_workspace" // workspace
 	SetShare        Kind = "set_share"        // workspace, share
 	SetLimit        Kind = "set_limit"        // workspace, limit
 	AddKey          Kind = "add_key"          // workspace, key_hash
 	RevokeKey       Kind = "revoke_key"       // workspace, key_hash
-	SetModel        Kind = "set_model"        // model, version, replicas, per_host
+	SetModel        Kind = "set_model"        // model, version, replicas
 	SetAdapter      Kind = "set_adapter"      // workspace, model, adapter
 	Drain           Kind = "drain"            // host
 	Undrain         Kind = "undrain"          // host
@@ -34,12 +34,12 @@
 	RevokeOperator  Kind = "revoke_operator"  // operator
 )
 
-// Intent is one wish of an operator. Which fields count depends on Kind.
+// Intent is one change that an operator requests. Kind determines which fields apply.
 type Intent struct {
 	Kind       Kind    `json:"kind"`
 	Workspace  string  `json:"workspace,omitempty"`
-	Share      float64 `json:"share,omitempty"` // part of the fleet, 0 to 1
-	Limit      float64 `json:"limit,omitempty"` // requests a second, 0 means none
+	Share      float64 `json:"share,omitempty"` // fraction of the fleet, 0 to 1
+	Limit      float64 `json:"limit,omitempty"` // requests per second, 0 means unlimited
 	KeyHash    string  `json:"key_hash,omitempty"`
 	Model      string  `json:"model,omitempty"`
 	Version    string  `json:"version,omitempty"`
@@ -48,22 +48,22 @@
 	Host       string  `json:"host,omitempty"`
 	Role       string  `json:"role,omitempty"`
 	Deployment string  `json:"deployment,omitempty"`
-	Harm       float64 `json:"harm,omitempty"`
+	Harm       float64 `json:"harm,omitempty"` // how much longer batch may make an online step, 0 to 1
 	Operator   string  `json:"operator,omitempty"`
 	Scope      string  `json:"scope,omitempty"`
 }
 
-// ScopeFleet is the scope of operators who act for the whole fleet. Any other
-// scope is the name of a workspace.
+// ScopeFleet is the scope of operators of the whole fleet. Any other scope is the name
+// of a workspace.
 const ScopeFleet = "fleet"
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 var hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// Validate checks an intent by itself, without any state.
+// Validate checks the fields of an intent without regard to the state.
 func (i Intent) Validate() error {
-	need := func(field, value string, pattern *regexp.Regexp) error {
+	match := func(field, value string, pattern *regexp.Regexp) error {
 		if !pattern.MatchString(value) {
 			return apierr.New(apierr.CodeBadRequest, "%s: %s is missing or malformed", i.Kind, field)
 		}
@@ -74,63 +74,64 @@
 		if i.Workspace == ScopeFleet {
 			return apierr.New(apierr.CodeBadRequest, "a workspace cannot be named %q", ScopeFleet)
 		}
-		return need("workspace", i.Workspace, namePattern)
+		return match("workspace", i.Workspace, namePattern)
 	case SetShare:
 		if i.Share < 0 || i.Share > 1 {
 			return apierr.New(apierr.CodeBadRequest, "share must be between 0 and 1")
 		}
-		return need("workspace", i.Workspace, namePattern)
+		return match("workspace", i.Workspace, namePattern)
 	case SetLimit:
 		if i.Limit < 0 {
 			return apierr.New(apierr.CodeBadRequest, "limit must not be negative")
 		}
-		return need("workspace", i.Workspace, namePattern)
+		return match("workspace", i.Workspace, namePattern)
 	case AddKey, RevokeKey:
-		if err := need("workspace", i.Workspace, namePattern); err != nil {
+		if err := match("workspace", i.Workspace, namePattern); err != nil {
 			return err
 		}
-		return need("key_hash", i.KeyHash, hashPattern)
+		return match("key_hash", i.KeyHash, hashPattern)
 	case SetModel:
 		if i.Replicas < 0 {
 			return apierr.New(apierr.CodeBadRequest, "replicas must not be negative")
 		}
-		if err := need("version", i.Version, namePattern); err != nil {
+		if err := match("version", i.Version, namePattern); err != nil {
 			return err
 		}
-		return need("model", i.Model, namePattern)
+		return match("model", i.Model, namePattern)
 	case SetAdapter:
-		if err := need("model", i.Model, namePattern); err != nil {
+		if err := match("model", i.Model, namePattern); err != nil {
 			return err
 		}
-		return need("workspace", i.Workspace, namePattern)
+		return match("workspace", i.Workspace, namePattern)
 	case Drain, Undrain:
-		return need("host", i.Host, namePattern)
+		return match("host", i.Host, namePattern)
 	case SetRole:
-		if err := need("role", i.Role, namePattern); err != nil {
+		if err := match("role", i.Role, namePattern); err != nil {
 			return err
 		}
-		return need("host", i.Host, namePattern)
+		return match("host", i.Host, namePattern)
 	case SetPolicy:
 		if i.Harm < 0 || i.Harm > 1 {
 			return apierr.New(apierr.CodeBadRequest, "harm must be between 0 and 1")
 		}
-		return need("deployment", i.Deployment, namePattern)
+		return match("deployment", i.Deployment, namePattern)
 	case AddOperator:
-		if err := need("operator", i.Operator, namePattern); err != nil {
+		if err := match("operator", i.Operator, namePattern); err != nil {
 			return err
 		}
-		if err := need("scope", i.Scope, namePattern); err != nil {
+		if err := match("scope", i.Scope, namePattern); err != nil {
 			return err
 		}
-		return need("key_hash", i.KeyHash, hashPattern)
+		return match("key_hash", i.KeyHash, hashPattern)
 	case RevokeOperator:
-		return need("operator", i.Operator, namePattern)
+		return match("operator", i.Operator, namePattern)
 	}
 	return apierr.New(apierr.CodeBadRequest, "unknown kind of intent %q", string(i.Kind))
 }
 
-// Touches names the aggregate that the intent changes.
-func (i Intent) Touches() string {
+// Aggregate returns the key of the aggregate that the intent changes, such as
+// "host/NAME".
+func (i Intent) Aggregate() string {
 	switch i.Kind {
 	case SetModel:
 		return "model/" + i.Model
@@ -144,7 +145,7 @@
 	return "workspace/" + i.Workspace
 }
 
-// String says in plain words what the intent changes.
+// String describes the change for operators.
 func (i Intent) String() string {
 	switch i.Kind {
 	case CreateWorkspace:
@@ -184,10 +185,10 @@
 	return fmt.Sprintf("%d targets", n)
 }
 
-// maxIntents bounds the intents of one plan.
+// maxIntents bounds the number of intents in a plan.
 const maxIntents = 1000
 
-// DecodeIntents reads the JSON form of intents and checks each.
+// DecodeIntents decodes and validates the JSON form of intents.
 func DecodeIntents(data []byte) ([]Intent, error) {
 	dec := json.NewDecoder(strings.NewReader(string(data)))
 	dec.DisallowUnknownFields()
@@ -206,10 +207,10 @@
 	return intents, nil
 }
 
-func touched(intents []Intent) []string {
+func touchedAggregates(intents []Intent) []string {
 	var out []string
 	for _, i := range intents {
-		if key := i.Touches(); !slices.Contains(out, key) {
+		if key := i.Aggregate(); !slices.Contains(out, key) {
 			out = append(out, key)
 		}
 	}
--- a/config/seed_test.go
+++ b/config/seed_test.go
@@ -2,8 +2,8 @@
 
 import "flag"
 
-// Draws are the same in every run unless the command line gives another seed
-// with -rapid.seed.
+// init fixes the seed of rapid, so that runs are reproducible. The flag -rapid.seed
+// overrides it.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
--- a/config/state.go
+++ b/config/state.go
@@ -8,7 +8,7 @@
 	"pumiceford/apierr"
 )
 
-// Workspace is one tenant of the fleet.
+// Workspace is a tenant of the fleet. Share and Limit have the units of Intent.
 type Workspace struct {
 	Name     string            `json:"name"`
 	Share    float64           `json:"share"`
@@ -17,16 +17,16 @@
 	Adapters map[string]string `json:"adapters,omitempty"`
 }
 
-// Model is one model and the version in force.
+// Model is a model with the version in force.
 type Model struct {
 	Name     string `json:"name"`
 	Version  string `json:"version"`
-	Replicas int    `json:"replicas"`
+	Replicas int    `json:"replicas"` // targets that serve the model, 0 means all
 	Previous string `json:"previous,omitempty"`
-	Offset   uint64 `json:"offset"` // fencing number of orders for it
+	Offset   uint64 `json:"offset"` // of the last change; the fence of engine orders
 }
 
-// Host is what operators said of a host.
+// Host holds the operators' settings of a host.
 type Host struct {
 	Name    string `json:"name"`
 	Drained bool   `json:"drained"`
@@ -34,25 +34,25 @@
 	Offset  uint64 `json:"offset"`
 }
 
-// Operator may state intents within a scope.
+// Operator is a person or tool that may state intents within a scope.
 type Operator struct {
 	Name    string `json:"name"`
 	Scope   string `json:"scope"`
 	KeyHash string `json:"key_hash"`
 }
 
-// Change names who changed an aggregate last.
+// Change records the last change of an aggregate.
 type Change struct {
 	Offset uint64 `json:"offset"`
 	Author string `json:"author"`
 }
 
-// tables is everything that intents change.
+// tables holds all aggregates that intents change, by name.
 type tables struct {
 	Workspaces map[string]Workspace `json:"workspaces"`
 	Models     map[string]Model     `json:"models"`
 	Hosts      map[string]Host      `json:"hosts"`
-	Harm       map[string]float64   `json:"harm"` // deployment -> tolerated harm
+	Harm       map[string]float64   `json:"harm"` // by deployment, as in Intent
 	Operators  map[string]Operator  `json:"operators"`
 }
 
@@ -66,23 +66,24 @@
 	}
 }
 
-// shareSlack absorbs rounding in sums of shares.
-const shareSlack = 1e-9
+// shareTolerance allows for rounding errors in sums of shares.
+const shareTolerance = 1e-9
 
 func (t *tables) shareSum() float64 {
 	names := slices.Sorted(maps.Keys(t.Workspaces))
 	sum := 0.0
 	for _, name := range names {
-		// Summed in one order, so that every node rounds alike.
+		// A fixed order gives the same rounding on every node.
 		sum += t.Workspaces[name].Share
 	}
 	return sum
 }
 
-func restore[V any](m map[string]V, key string) func() {
-	old, had := m[key]
+// undoFor returns a function that restores the present value of a key.
+func undoFor[V any](m map[string]V, key string) func() {
+	old, ok := m[key]
 	return func() {
-		if had {
+		if ok {
 			m[key] = old
 			return
 		}
@@ -90,40 +91,40 @@
 	}
 }
 
-// apply changes the tables by one intent and returns how to take it back.
+// apply applies one intent and returns a function that undoes it.
 func (t *tables) apply(i Intent, offset uint64) (func(), error) {
 	switch i.Kind {
 	case CreateWorkspace:
 		if _, ok := t.Workspaces[i.Workspace]; ok {
 			return nil, apierr.New(apierr.CodePlanConflict, "workspace %s exists", i.Workspace)
 		}
-		back := restore(t.Workspaces, i.Workspace)
+		undo := undoFor(t.Workspaces, i.Workspace)
 		t.Workspaces[i.Workspace] = Workspace{Name: i.Workspace}
-		return back, nil
+		return undo, nil
 	case SetShare, SetLimit, AddKey, RevokeKey, SetAdapter:
 		return t.applyWorkspace(i)
 	case SetModel:
-		back := restore(t.Models, i.Model)
+		undo := undoFor(t.Models, i.Model)
 		old := t.Models[i.Model]
 		t.Models[i.Model] = Model{Name: i.Model, Version: i.Version, Replicas: i.Replicas, Previous: old.Version, Offset: offset}
-		return back, nil
+		return undo, nil
 	case Drain, Undrain, SetRole:
 		return t.applyHost(i, offset), nil
 	case SetPolicy:
-		back := restore(t.Harm, i.Deployment)
+		undo := undoFor(t.Harm, i.Deployment)
 		t.Harm[i.Deployment] = i.Harm
-		return back, nil
+		return undo, nil
 	case AddOperator:
-		back := restore(t.Operators, i.Operator)
+		undo := undoFor(t.Operators, i.Operator)
 		t.Operators[i.Operator] = Operator{Name: i.Operator, Scope: i.Scope, KeyHash: i.KeyHash}
-		return back, nil
+		return undo, nil
 	case RevokeOperator:
 		if _, ok := t.Operators[i.Operator]; !ok {
 			return nil, apierr.New(apierr.CodePlanConflict, "no operator %s", i.Operator)
 		}
-		back := restore(t.Operators, i.Operator)
+		undo := undoFor(t.Operators, i.Operator)
 		delete(t.Operators, i.Operator)
-		return back, nil
+		return undo, nil
 	}
 	return nil, apierr.New(apierr.CodeBadRequest, "unknown kind of intent")
 }
@@ -133,7 +134,7 @@
 	if !ok {
 		return nil, apierr.New(apierr.CodePlanConflict, "no workspace %s", i.Workspace)
 	}
-	back := restore(t.Workspaces, i.Workspace)
+	undo := undoFor(t.Workspaces, i.Workspace)
 	switch i.Kind {
 	case SetShare:
 		ws.Share = i.Share
@@ -153,11 +154,11 @@
 		ws.Adapters[i.Model] = i.Adapter
 	}
 	t.Workspaces[i.Workspace] = ws
-	return back, nil
+	return undo, nil
 }
 
 func (t *tables) applyHost(i Intent, offset uint64) func() {
-	back := restore(t.Hosts, i.Host)
+	undo := undoFor(t.Hosts, i.Host)
 	h := t.Hosts[i.Host]
 	h.Name = i.Host
 	h.Offset = offset
@@ -170,29 +171,29 @@
 		h.Role = i.Role
 	}
 	t.Hosts[i.Host] = h
-	return back
+	return undo
 }
 
-// applyAll applies intents in order, all or none. It keeps the sum of shares
-// within the fleet, but for workspaces that were there before and only shrink.
+// applyAll applies intents in order, all or none. It refuses a change of shares after
+// which they sum to more than the fleet.
 func (t *tables) applyAll(intents []Intent, offset uint64) error {
-	var backs []func()
+	var undos []func()
 	rollBack := func() {
-		for n := len(backs) - 1; n >= 0; n-- {
-			backs[n]()
+		for n := len(undos) - 1; n >= 0; n-- {
+			undos[n]()
 		}
 	}
-	shares := false
+	sharesChanged := false
 	for _, i := range intents {
-		back, err := t.apply(i, offset)
+		undo, err := t.apply(i, offset)
 		if err != nil {
 			rollBack()
 			return err
 		}
-		shares = shares || i.Kind == SetShare
-		backs = append(backs, back)
+		sharesChanged = sharesChanged || i.Kind == SetShare
+		undos = append(undos, undo)
 	}
-	if shares && t.shareSum() > 1+shareSlack {
+	if sharesChanged && t.shareSum() > 1+shareTolerance {
 		sum := t.shareSum()
 		rollBack()
 		return apierr.New(apierr.CodePlanConflict, "shares would add up to %.1f%% of the fleet", 100*sum)
@@ -200,8 +201,9 @@
 	return nil
 }
 
-// losers names the workspaces whose share the intents would lower.
-func (t *tables) losers(intents []Intent) []string {
+// workspacesLosingShare returns the names of the workspaces whose share the intents
+// would lower, sorted.
+func (t *tables) workspacesLosingShare(intents []Intent) []string {
 	final := make(map[string]float64)
 	for _, i := range intents {
 		if i.Kind == SetShare {
