--- a/settings/daemons.go
+++ b/settings/daemons.go
@@ -16,12 +16,11 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-// TLS names the files for connections between our processes. Both sides are
-// checked. All three are given or none.
+// TLS names the files for mutual TLS between the processes. All three are required.
 type TLS struct {
 	Cert string `json:"cert"` // PEM file of this process's certificate
 	Key  string `json:"key"`  // PEM file of its private key
-	CA   string `json:"ca"`   // PEM file of the authority that signs all processes
+	CA   string `json:"ca"`   // PEM file of the authority that signs all certificates
 }
 
 func (t *TLS) check() []Problem {
@@ -37,7 +36,7 @@
 	return out
 }
 
-// Config loads the files. It returns nil without settings.
+// Config loads the files into a TLS configuration. It returns nil if t is nil.
 func (t *TLS) Config() (*tls.Config, error) {
 	if t == nil {
 		return nil, nil
@@ -52,7 +51,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, &Error{File: t.CA, Field: "tls.ca", Problem: "no certificate in it"}
+		return nil, &Error{File: t.CA, Field: "tls.ca", Problem: "the file has no PEM certificate"}
 	}
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -64,11 +63,11 @@
 	}, nil
 }
 
-// ServerName is the DNS name that the certificates of all processes carry.
-// Processes find each other by IP numbers, which change too often to be certified.
+// ServerName is the DNS name in the certificates of all processes. Processes connect
+// by IP address, and these change too often to appear in certificates.
 const ServerName = "pumiceford"
 
-// Log says where and how much to log.
+// Log holds the settings of logging.
 type Log struct {
 	Level  string `json:"level"`  // trace, debug, info, warn or error; default info
 	Format string `json:"format"` // console or json; default console
@@ -85,18 +84,18 @@
 	return out
 }
 
-// Logger returns the logger that the settings ask for.
+// Logger returns a logger with these settings.
 func (l Log) Logger() logging.Logger {
 	return logging.New(logging.Settings{Level: l.Level, Format: l.Format})
 }
 
-// Operator is the operator who exists before any configuration.
+// Operator is the operator that exists before any configuration.
 type Operator struct {
 	Name    string `json:"name"`
 	KeyHash string `json:"key_hash"` // hex SHA-256 of the key
 }
 
-// Entry is the settings of pumice-entry.
+// Entry holds the settings of pumice-entry.
 type Entry struct {
 	Name       string `json:"name"`        // as in the platform's host list
 	DataCentre string `json:"data_centre"` // of this host
@@ -104,20 +103,21 @@
 	Operators  string `json:"operators"`   // ip:port for operators and metrics
 	Peers      string `json:"peers"`       // ip:port for other entries
 	Platform   string `json:"platform"`    // URL of the platform's services
-	// Partitions is how many batch partitions there are. It is fixed when the
-	// streams are created.
+	// Partitions is the number of batch partitions. It cannot change after the
+	// streams have been created.
 	Partitions uint32   `json:"partitions"`
 	Bootstrap  Operator `json:"bootstrap_operator"`
-	// StopWithin bounds a planned stop; what runs longer is cut off. Default 10m.
+	// StopWithin bounds a planned stop. Requests that run longer are aborted.
+	// Default 10m.
 	StopWithin Duration `json:"stop_within"`
-	// BalancerSees is how long the balancer takes to see that the entry is not
-	// ready any more. Default 2s.
+	// BalancerSees is how long the load balancer takes to detect that the entry is no
+	// longer ready. Default 2s.
 	BalancerSees Duration `json:"balancer_sees"`
-	// CommitEvery is the shortest time between two appends that callers wait
-	// for. Default 20ms.
+	// CommitEvery is the shortest interval between two appends that callers wait for.
+	// Default 20ms.
 	CommitEvery Duration `json:"commit_every"`
-	// ResultsEvery is how long batch results gather before they are appended,
-	// but for a job's last ones. Default 6s.
+	// ResultsEvery is how long batch results are collected before they are appended.
+	// The last results of a job are appended at once. Default 6s.
 	ResultsEvery Duration `json:"results_every"`
 	// Retention is how long the platform's log keeps records. Default 24h.
 	Retention Duration `json:"retention"`
@@ -125,7 +125,7 @@
 	Log       Log      `json:"log"`
 }
 
-// MaxPartitions bounds Partitions.
+// MaxPartitions is the largest number of batch partitions.
 const MaxPartitions = 4096
 
 // Check implements Checker.
@@ -147,22 +147,23 @@
 	return append(out, s.Log.check()...)
 }
 
-// Agent is the settings of pumice-agent.
+// Agent holds the settings of pumice-agent.
 type Agent struct {
 	Name       string            `json:"name"`        // as in the platform's host list
 	DataCentre string            `json:"data_centre"` // of this host
-	Deployment string            `json:"deployment"`  // whose policy applies here
+	Deployment string            `json:"deployment"`  // whose policy applies to this agent
 	Listen     string            `json:"listen"`      // ip:port for entries
 	Metrics    string            `json:"metrics"`     // ip:port for /metrics and health
 	Platform   string            `json:"platform"`    // URL of the platform's services
-	Engine     string            `json:"engine"`      // URL of the model engine, empty without one
-	Services   map[string]string `json:"services"`    // plain services beside it: name to URL
+	Engine     string            `json:"engine"`      // URL of the model engine, empty if there is none
+	Services   map[string]string `json:"services"`    // URLs of plain services by name
 	Seats      int               `json:"seats"`       // sequences that the engine runs in one step
 	KVBlocks   int               `json:"kv_blocks"`   // KV blocks of 16 tokens, 0 for no limit
-	// Harm is how much longer batch may make a step while online runs, as a
-	// share, until a policy is in force. Default 0.05.
+	// Harm is how much longer batch may make an online step, as a fraction, until a
+	// policy is in force. Default 0.05.
 	Harm float64 `json:"harm"`
-	// StopWithin bounds a planned stop; what runs longer is cut off. Default 10m.
+	// StopWithin bounds a planned stop. Requests that run longer are aborted.
+	// Default 10m.
 	StopWithin Duration `json:"stop_within"`
 	TLS        *TLS     `json:"tls"`
 	Log        Log      `json:"log"`
@@ -177,7 +178,7 @@
 	out = append(out, CheckDistinct(map[string]string{"listen": s.Listen, "metrics": s.Metrics})...)
 	out = append(out, CheckURL("platform", s.Platform)...)
 	if s.Engine == "" && len(s.Services) == 0 {
-		out = append(out, Problem{"engine", "expected an engine or at least one service"})
+		out = append(out, Problem{"engine", "expected an engine URL or at least one service"})
 	}
 	if s.Engine != "" {
 		out = append(out, CheckURL("engine", s.Engine)...)
@@ -195,7 +196,7 @@
 	return append(out, s.Log.check()...)
 }
 
-// Standin is the settings of pumice-standin: which outside systems it models.
+// Standin holds the settings of pumice-standin, which simulates external systems.
 type Standin struct {
 	Platform *StandinPlatform `json:"platform"`
 	Engines  []StandinEngine  `json:"engines"`
@@ -203,19 +204,20 @@
 	Log      Log              `json:"log"`
 }
 
-// StandinPlatform models the log service, the host list and the weight store.
+// StandinPlatform configures a simulated platform: the log service, the host list and
+// the weight store.
 type StandinPlatform struct {
 	Listen           string       `json:"listen"`
 	AppendsPerSecond float64      `json:"appends_per_second"` // 0 means unlimited
-	Retention        Duration     `json:"retention"`          // 0 keeps all
+	Retention        Duration     `json:"retention"`          // 0 keeps all records
 	Latency          Duration     `json:"latency"`
 	HostLag          Duration     `json:"host_lag"`
 	Hosts            []infra.Host `json:"hosts"`
 	WeightBytes      int64        `json:"weight_bytes"`
-	WeightRate       int64        `json:"weight_rate"` // bytes a second
+	WeightRate       int64        `json:"weight_rate"` // bytes per second
 }
 
-// StandinEngine models one model engine.
+// StandinEngine configures one simulated model engine.
 type StandinEngine struct {
 	Listen     string   `json:"listen"`
 	Models     []string `json:"models"`
@@ -225,7 +227,7 @@
 	CheckFence bool     `json:"check_fence"`
 }
 
-// StandinService models one plain service.
+// StandinService configures one simulated plain service.
 type StandinService struct {
 	Listen string   `json:"listen"`
 	Delay  Duration `json:"delay"`
@@ -246,12 +248,12 @@
 		out = append(out, CheckAddr("services.listen", v.Listen)...)
 	}
 	if s.Platform == nil && len(s.Engines) == 0 && len(s.Services) == 0 {
-		out = append(out, Problem{"", "nothing to model"})
+		out = append(out, Problem{"", "expected a platform, an engine or a service"})
 	}
 	return append(append(out, CheckDistinct(addrs)...), s.Log.check()...)
 }
 
-// Listen opens a listener on a checked address.
+// Listen opens a TCP listener. The error names the address.
 func Listen(addr string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Store says how to reach the shared store.
+// Store holds the connection settings of the shared store.
 type Store struct {
 	Addr       string `json:"addr"`       // ip:port
-	Partitions int    `json:"partitions"` // of each topic
-	CallBytes  int    `json:"call_bytes"` // most that one append may carry
+	Partitions int    `json:"partitions"` // per topic
+	CallBytes  int    `json:"call_bytes"` // largest size of one append
 }
 
 func (s *Store) check() []Problem {
 	out := CheckAddr("store.addr", s.Addr)
 	if s.Partitions <= 0 {
-		out = append(out, Problem{"store.partitions", "expected a number above 0"})
+		out = append(out, Problem{"store.partitions", "expected 1 or more"})
 	}
-	const leastCall = 256 << 10 // one record with its frame
-	if s.CallBytes < leastCall {
+	const minCallBytes = 256 << 10 // one record with its framing
+	if s.CallBytes < minCallBytes {
 		out = append(out, Problem{"store.call_bytes", "expected 262144 or more"})
 	}
 	return out
 }
 
-// RateLimits says how exactly a rate limit has to be kept: in any window, the rate over the
-// window and the burst may be exceeded by a share and a number of requests.
+// RateLimits holds the tolerance of rate limits. In any window, the requests may exceed
+// the rate over the window plus the burst by the fraction Excess plus Slack requests.
 type RateLimits struct {
 	Window Duration `json:"window"` // default 5s
-	Excess float64  `json:"excess"` // share; default 0
+	Excess float64  `json:"excess"` // fraction; default 0
 	Slack  float64  `json:"slack"`  // requests; default 0
 }
 
 func (r *RateLimits) check() []Problem {
 	var out []Problem
-	const least, most = Duration(time.Second), Duration(time.Minute)
-	if r.Window != 0 && (r.Window < least || r.Window > most) {
+	const minWindow, maxWindow = Duration(time.Second), Duration(time.Minute)
+	if r.Window != 0 && (r.Window < minWindow || r.Window > maxWindow) {
 		out = append(out, Problem{"limits.window", "expected 1s to 1m"})
 	}
 	if r.Excess < 0 || r.Excess > 1 {
@@ -47,40 +47,40 @@
 	return out
 }
 
-// defaultWindow is the window of rate limits where none is set.
-const defaultWindow = Duration(5 * time.Second)
+// defaultLimitWindow is the default of RateLimits.Window.
+const defaultLimitWindow = Duration(5 * time.Second)
 
-// WindowOrDefault returns the window.
+// WindowOrDefault returns the window, or its default if it is not set.
 func (r *RateLimits) WindowOrDefault() time.Duration {
 	if r.Window == 0 {
-		return time.Duration(defaultWindow)
+		return time.Duration(defaultLimitWindow)
 	}
 	return time.Duration(r.Window)
 }
 
-// Gateway is the settings of an entry on the users' platform.
+// Gateway holds the settings of an entry on the users' platform.
 type Gateway struct {
 	Name       string   `json:"name"`
 	DataCentre string   `json:"data_centre"`
 	Callers    string   `json:"callers"`    // ip:port for callers
-	Ready      string   `json:"ready"`      // ip:port where the balancer asks
+	Ready      string   `json:"ready"`      // ip:port for the load balancer's readiness checks
 	Peers      string   `json:"peers"`      // ip:port for other entries
 	Metrics    string   `json:"metrics"`    // ip:port for metrics
-	Seeds      []string `json:"seeds"`      // peers to ask at start, ip:port
-	AgentPort  int      `json:"agent_port"` // of the agent on each target's host
+	Seeds      []string `json:"seeds"`      // ip:port of peers for discovery at start
+	AgentPort  int      `json:"agent_port"` // port of the agent on each target's host
 	Store      Store    `json:"store"`
-	// KeepResults is how long the results of a job are readable.
+	// KeepResults is how long the results of a job stay readable.
 	KeepResults Duration `json:"keep_results"`
-	// KeyLease is how long after it was taken away a key may still be served; 0 sets no
-	// bound.
+	// KeyLease bounds how long a key may still be accepted after its revocation. 0 means
+	// no bound.
 	KeyLease Duration `json:"key_lease"`
-	// Limits says how exactly the rate limits of workspaces are kept.
+	// Limits is the tolerance of the workspaces' rate limits.
 	Limits RateLimits `json:"limits"`
-	// StopWithin is when the platform kills a process that it has asked to stop.
+	// StopWithin is the time from the platform's stop signal until it kills the process.
 	StopWithin Duration `json:"stop_within"`
-	MemoryMB   int      `json:"memory_mb"` // limit of this process
-	// PlainPeers allows connections between our processes without TLS on
-	// addresses other than loopback, for networks that are closed to others.
+	MemoryMB   int      `json:"memory_mb"` // memory limit of this process in MiB
+	// PlainPeers allows connections between the processes without TLS on addresses
+	// other than loopback, for isolated networks.
 	PlainPeers bool `json:"plain_peers"`
 	TLS        *TLS `json:"tls"`
 	Log        Log  `json:"log"`
@@ -100,16 +100,16 @@
 	out = append(out, checkPort("agent_port", g.AgentPort)...)
 	out = append(out, g.Limits.check()...)
 	out = append(out, g.Store.check()...)
-	const leastStop = Duration(2 * time.Second) // streams in progress take about one
-	if g.StopWithin < leastStop {
+	const minStopWithin = Duration(2 * time.Second) // running streams take about 1 s to end
+	if g.StopWithin < minStopWithin {
 		out = append(out, Problem{"stop_within", "expected 2s or more"})
 	}
 	if g.KeepResults <= 0 {
 		out = append(out, Problem{"keep_results", "missing"})
 	}
-	const leastKeyLease = Duration(time.Second) // a look at a slow store takes a quarter of it
-	if g.KeyLease != 0 && g.KeyLease < leastKeyLease {
-		out = append(out, Problem{"key_lease", "expected 1s or more, or nothing"})
+	const minKeyLease = Duration(time.Second) // one read of a slow store takes a quarter of it
+	if g.KeyLease != 0 && g.KeyLease < minKeyLease {
+		out = append(out, Problem{"key_lease", "expected 1s or more, or 0s for no bound"})
 	}
 	if !g.PlainPeers {
 		out = append(out, CheckLoopback("peers", g.Peers, g.TLS != nil)...)
@@ -118,7 +118,7 @@
 	return append(out, g.Log.check()...)
 }
 
-// SeatAgent is the settings of an agent beside a target on the users' platform.
+// SeatAgent holds the settings of an agent beside a target on the users' platform.
 type SeatAgent struct {
 	Name       string   `json:"name"`
 	Listen     string   `json:"listen"`  // ip:port for entries
@@ -148,12 +148,13 @@
 
 func checkPort(field string, port int) []Problem {
 	if port < 1 || port > 65535 {
-		return []Problem{{field, "expected a port number"}}
+		return []Problem{{field, "expected a port number from 1 to 65535"}}
 	}
 	return nil
 }
 
-// AgentAddr returns where the agent beside a target listens.
+// AgentAddr returns the address of the agent on a target's host, "" if target is not
+// "ip:port".
 func (g *Gateway) AgentAddr(target string) string {
 	ap, err := netip.ParseAddrPort(target)
 	if err != nil {
--- a/settings/gateway_test.go
+++ b/settings/gateway_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// All mistakes of a file are named in one error.
-func TestAllMistakesOfAGatewayAreNamed(t *testing.T) {
+// One error names all problems of a file, so that an operator can correct them at once.
+func TestGatewayReportsAllProblems(t *testing.T) {
 	good, err := os.ReadFile("../examples/gateway.hujson")
 	if err != nil {
 		t.Fatal(err)
@@ -23,21 +23,21 @@
 	).Replace(string(good))
 	err = Parse("x", []byte(bad), &Gateway{})
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("invalid gateway settings were accepted")
 	}
 	for _, want := range []string{"name: missing", "is used by", "without tls only a loopback", "agent_port", "store.partitions", "store.call_bytes", "keep_results", "stop_within", "log.format", `"here" is not`} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%q is not named in: %v", want, err.Error())
+			t.Errorf("error lacks %q: %v", want, err.Error())
 		}
 	}
 	open := strings.Replace(string(good), `127.0.0.1:8166`, `10.0.0.1:8166`, 1)
 	open = strings.Replace(open, `"memory_mb"`, `"plain_peers": true, "memory_mb"`, 1)
 	if err := Parse("x", []byte(open), &Gateway{}); err != nil {
-		t.Errorf("plain peers on a closed network: %v", err)
+		t.Errorf("peers without TLS refused despite plain_peers: %v", err)
 	}
 }
 
-func TestMistakesOfASeatAgent(t *testing.T) {
+func TestSeatAgentReportsAllProblems(t *testing.T) {
 	good, err := os.ReadFile("../examples/seat-agent.hujson")
 	if err != nil {
 		t.Fatal(err)
@@ -46,18 +46,18 @@
 	err = Parse("x", []byte(bad), &SeatAgent{})
 	for _, want := range []string{`"nowhere" is not`, "is used by"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q is not named in: %v", want, err)
+			t.Errorf("error lacks %q: %v", want, err)
 		}
 	}
 }
 
-// The agent beside a target is found by the target's host.
+// An agent's address consists of the target's IP address and the agent port.
 func TestAgentAddr(t *testing.T) {
 	g := Gateway{AgentPort: 7720}
 	if got := g.AgentAddr("10.1.2.3:80"); got != "10.1.2.3:7720" {
-		t.Errorf("got %q", got)
+		t.Errorf("agent address is %q, want \"10.1.2.3:7720\"", got)
 	}
 	if got := g.AgentAddr("nonsense"); got != "" {
-		t.Errorf("got %q", got)
+		t.Errorf("agent address for an invalid target is %q, want \"\"", got)
 	}
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads settings files: JSON with comments, checked strictly.
-// Every problem names the file, the line and what was expected.
+// Package settings reads settings files in JSON with comments and validates them
+// strictly. Errors name the file, the line and what was expected.
 package settings
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/tailscale/hujson"
 )
 
-// Error is one problem of a settings file.
+// Error is one problem in a settings file.
 type Error struct {
 	File    string
-	Line    int // 0 when the problem belongs to no line
+	Line    int // 0 if the problem has no line
 	Field   string
 	Problem string
 }
@@ -36,28 +36,28 @@
 	return fmt.Sprintf("%s: %s", where, e.Problem)
 }
 
-// Errors are all problems of a settings file.
+// Errors holds all problems found in a settings file.
 type Errors []*Error
 
-// Error implements error: one problem a line.
+// Error implements error. The text has one problem per line.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
-	for i, one := range e {
-		lines[i] = one.Error()
+	for i, err := range e {
+		lines[i] = err.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns the problems.
+// Unwrap returns the problems, for errors.Is and errors.As.
 func (e Errors) Unwrap() []error {
 	out := make([]error, len(e))
-	for i, one := range e {
-		out[i] = one
+	for i, err := range e {
+		out[i] = err
 	}
 	return out
 }
 
-// Duration is a time.Duration written like "500ms" or "2s".
+// Duration is a time.Duration that is written as a string such as "500ms" or "2s".
 type Duration time.Duration
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -82,8 +82,8 @@
 	return json.Marshal(time.Duration(d).String())
 }
 
-// Checker is a settings struct that can check itself. Problems name a field by
-// its JSON name.
+// Checker is a settings struct that validates itself. Each Problem names its field by
+// the JSON name.
 type Checker interface {
 	Check() []Problem
 }
@@ -103,10 +103,10 @@
 	return Parse(path, raw, v)
 }
 
-// Parse reads settings from memory. The name is used in errors.
+// Parse decodes raw into v and checks it. name stands for the file in errors.
 func Parse(name string, raw []byte, v Checker) error {
-	// Standardize replaces comments by blanks of the same length and so keeps
-	// lines where they are. It works in place.
+	// Standardize replaces comments by blanks of the same length, so that line
+	// numbers stay valid. It works in place, hence the clone.
 	std, err := hujson.Standardize(bytes.Clone(raw))
 	if err != nil {
 		return &Error{File: name, Problem: err.Error()}
@@ -117,7 +117,7 @@
 		return decodeError(name, raw, dec.InputOffset(), err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return &Error{File: name, Line: lineAt(raw, dec.InputOffset()), Problem: "there is more after the settings"}
+		return &Error{File: name, Line: lineAt(raw, dec.InputOffset()), Problem: "unexpected data after the settings"}
 	}
 	problems := v.Check()
 	if len(problems) == 0 {
@@ -152,7 +152,7 @@
 	return 1 + bytes.Count(raw[:offset], []byte("\n"))
 }
 
-// lineOf finds the line that names a field, 0 when none does.
+// lineOf returns the first line that contains a field's name, 0 if there is none.
 func lineOf(raw []byte, field string) int {
 	last := field[strings.LastIndex(field, ".")+1:]
 	at := bytes.Index(raw, []byte(`"`+last+`"`))
@@ -162,7 +162,7 @@
 	return lineAt(raw, int64(at))
 }
 
-// CheckAddr checks an "ip:port".
+// CheckAddr checks that an address has the form "ip:port".
 func CheckAddr(field, addr string) []Problem {
 	if addr == "" {
 		return []Problem{{field, "missing; expected \"ip:port\""}}
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// CheckLoopback checks that an address without TLS is on loopback.
+// CheckLoopback checks that an address without TLS is a loopback address.
 func CheckLoopback(field, addr string, tls bool) []Problem {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil || tls || ap.Addr().IsLoopback() {
@@ -182,7 +182,7 @@
 	return []Problem{{field, "without tls only a loopback address may be used"}}
 }
 
-// CheckDistinct checks that no two addresses are the same.
+// CheckDistinct checks that no two fields have the same address.
 func CheckDistinct(fields map[string]string) []Problem {
 	var out []Problem
 	seen := make(map[string]string)
@@ -199,7 +199,7 @@
 	return out
 }
 
-// CheckURL checks an http URL.
+// CheckURL checks that a URL begins with "http://" or "https://".
 func CheckURL(field, u string) []Problem {
 	if !strings.HasPrefix(u, "http://") && !strings.HasPrefix(u, "https://") {
 		return []Problem{{field, fmt.Sprintf("%q is not an http URL", u)}}
@@ -207,7 +207,7 @@
 	return nil
 }
 
-// CheckName checks the name of a host.
+// CheckName checks that a host's name is not empty.
 func CheckName(field, name string) []Problem {
 	if name == "" {
 		return []Problem{{field, "missing"}}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// Each mistake in a settings file is refused with its file, line and what was
+// Each problem in a settings file is reported with its file, its line and what was
 // expected.
-func TestMistakes(t *testing.T) {
+func TestEntryReportsProblems(t *testing.T) {
 	good, err := os.ReadFile("../examples/entry.hujson")
 	if err != nil {
 		t.Fatal(err)
@@ -27,12 +27,12 @@
 	}
 	for _, tc := range cases {
 		if !strings.Contains(string(good), tc.old) {
-			t.Fatalf("%s: the example lacks %q", tc.name, tc.old)
+			t.Fatalf("%s: examples/entry.hujson lacks %q", tc.name, tc.old)
 		}
 		err := Parse("x", []byte(strings.Replace(string(good), tc.old, tc.new, 1)), &Entry{})
 		var typed *Error
 		if !errors.As(err, &typed) || !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("%s: got %v, want %q", tc.name, err, tc.want)
+			t.Errorf("%s: got %v, want an *Error with %q", tc.name, err, tc.want)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 		}
 		var typed *Error
 		if err := Parse("f", data, &Agent{}); !errors.As(err, &typed) {
-			t.Fatalf("untyped failure %v", err)
+			t.Fatalf("error is not an *Error: %v", err)
 		}
 	})
 }
