--- a/ledger/commit.go
+++ b/ledger/commit.go
@@ -13,70 +13,75 @@
 	"pumiceford/wire"
 )
 
-// write is a group of entries that someone waits for.
-type write struct {
+// pendingWrite is a set of entries whose caller waits until they are durable.
+type pendingWrite struct {
 	entries []*wire.Entry
-	size    int
+	size    int // encoded size in bytes
 	done    chan error
 }
 
-// ackRef tells an agent that a result is durable.
-type ackRef struct {
+// resultAck names the agent to notify once a result is durable, and the
+// execution that produced the result.
+type resultAck struct {
 	agent string
 	ref   *wire.ItemRef
 }
 
-// flush appends what is due as one record.
+// flush appends all due entries, one record per group, until nothing is due.
 func (o *Owner) flush(ctx context.Context) error {
 	for {
-		group := o.gather(time.Now())
+		group := o.collectGroup(time.Now())
 		if len(group.entries) == 0 {
 			return nil
 		}
-		o.nameOutcomes(ctx, group)
+		o.fillCustomIDs(ctx, group)
 		_, err := o.stream.Write(ctx, o.epoch, group.entries)
-		if err := o.settle(group, err); err != nil {
+		if err := o.completeGroup(group, err); err != nil {
 			return err
 		}
 	}
 }
 
-// group is what one append carries.
-type group struct {
+// appendGroup holds the contents of one record.
+type appendGroup struct {
 	entries []*wire.Entry
-	writes  []*write
-	acks    []ackRef
+	writes  []*pendingWrite
+	acks    []resultAck
 	keys    []batch.ItemKey
-	bytes   int // of results
+	bytes   int // size of the results
 }
 
-// envelopeSlack leaves room for the envelope around the entries.
-const envelopeSlack = 4 << 10
+// envelopeReserve is the space in bytes that a record reserves for the envelope
+// around its entries.
+const envelopeReserve = 4 << 10
 
-func (o *Owner) gather(now time.Time) group {
+// collectGroup removes the queued writes that fit into one record, and the
+// results that are due, and returns them.
+func (o *Owner) collectGroup(now time.Time) appendGroup {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var g group
-	room := o.cfg.RecordLimit - envelopeSlack
-	for len(o.waiting) > 0 && (o.waiting[0].size <= room || len(g.writes) == 0) {
-		w := o.waiting[0]
-		o.waiting = o.waiting[1:]
+	var g appendGroup
+	room := o.cfg.RecordLimit - envelopeReserve
+	for len(o.queuedWrites) > 0 && (o.queuedWrites[0].size <= room || len(g.writes) == 0) {
+		w := o.queuedWrites[0]
+		o.queuedWrites = o.queuedWrites[1:]
 		room -= w.size
 		g.entries = append(g.entries, w.entries...)
 		g.writes = append(g.writes, w)
 	}
-	age := now.Sub(o.resultsAt)
-	due := o.buffered >= o.cfg.ResultsBytes || age >= o.cfg.ResultsEvery || o.draining ||
-		(age >= o.cfg.FinishEvery && o.finishesJob())
-	// Results ride along with any record that goes out anyway.
+	age := now.Sub(o.resultsSince)
+	due := o.bufferedBytes >= o.cfg.ResultsBytes || age >= o.cfg.ResultsEvery || o.draining ||
+		(age >= o.cfg.FinishEvery && o.completesJob())
+	// A record that is written for a caller also takes the buffered results,
+	// which saves an append.
 	if len(o.results) > 0 && (due || len(g.writes) > 0) {
-		o.gatherResults(&g, room, now)
+		o.collectResults(&g, room, now)
 	}
 	return g
 }
 
-// finishesJob reports whether the buffered outcomes are all that some job lacks.
-func (o *Owner) finishesJob() bool {
+// completesJob reports whether the buffered outcomes complete any job.
+func (o *Owner) completesJob() bool {
 	for id, outcomes := range o.results {
 		if j := o.part.Job(id); j != nil && uint32(len(outcomes)) >= j.Remaining() {
 			return true
@@ -85,9 +90,11 @@
 	return false
 }
 
-func (o *Owner) gatherResults(g *group, room int, now time.Time) {
+// collectResults moves buffered outcomes that fit into room bytes to g. Owner.mu
+// must be held.
+func (o *Owner) collectResults(g *appendGroup, room int, now time.Time) {
 	for job, outcomes := range o.results {
-		n, size := fitting(outcomes, room)
+		n, size := countFitting(outcomes, room)
 		if n == 0 {
 			break
 		}
@@ -101,23 +108,23 @@
 		for _, oc := range outcomes[:n] {
 			g.keys = append(g.keys, batch.ItemKey{Job: job, Index: oc.GetIndex()})
 		}
-		refs := o.resultRefs[job]
+		refs := o.resultAcks[job]
 		g.acks = append(g.acks, refs[:n]...)
 		if n == len(outcomes) {
 			delete(o.results, job)
-			delete(o.resultRefs, job)
+			delete(o.resultAcks, job)
 			continue
 		}
 		o.results[job] = outcomes[n:]
-		o.resultRefs[job] = refs[n:]
+		o.resultAcks[job] = refs[n:]
 	}
-	o.resultsAt = now
+	o.resultsSince = now
 }
 
-// nameOutcomes adds the caller's id to outcomes that no agent reported, such as
-// those of lost targets. One that cannot be read now stays without; readers look
-// into the input file while it is there.
-func (o *Owner) nameOutcomes(ctx context.Context, g group) {
+// fillCustomIDs sets the custom_id of outcomes that no agent reported, such as
+// those of lost targets. An id that cannot be read stays empty, and reads of the
+// result look it up in the input file while that file exists.
+func (o *Owner) fillCustomIDs(ctx context.Context, g appendGroup) {
 	for _, e := range g.entries {
 		r := e.GetResults()
 		for _, oc := range r.GetOutcomes() {
@@ -131,12 +138,13 @@
 	}
 }
 
-// customID reads an item's id from the input file, empty when it is not there.
+// customID reads an item's custom_id from the input file. It returns an empty
+// string when the item cannot be read.
 func (o *Owner) customID(ctx context.Context, j *batch.Job, index uint32) string {
 	if j == nil {
 		return ""
 	}
-	line, err := o.line(ctx, j, index)
+	line, err := o.itemLine(ctx, j, index)
 	if err != nil {
 		return ""
 	}
@@ -147,8 +155,9 @@
 	return item.CustomID
 }
 
-// fitting returns how many outcomes fit into room, and their size.
-func fitting(outcomes []*wire.Outcome, room int) (n, size int) {
+// countFitting returns how many of the first outcomes fit into room bytes, and
+// their total size.
+func countFitting(outcomes []*wire.Outcome, room int) (n, size int) {
 	for _, oc := range outcomes {
 		s := outcomeSize(oc)
 		if size+s > room {
@@ -160,10 +169,11 @@
 	return n, size
 }
 
-// outcomeOverhead is the encoding around one outcome.
+// outcomeOverhead is the encoding overhead of one outcome in bytes.
 const outcomeOverhead = 8
 
-// outcomeSize bounds the encoded size, with room for a custom_id that is added
+// outcomeSize returns an upper bound of the encoded size in bytes. It includes
+// the longest custom_id when the outcome has none, because fillCustomIDs adds it
 // just before the append.
 func outcomeSize(oc *wire.Outcome) int {
 	size := proto.Size(oc) + outcomeOverhead
@@ -173,8 +183,9 @@
 	return size
 }
 
-// settle tells everyone who waited for a group.
-func (o *Owner) settle(g group, err error) error {
+// completeGroup reports the result of an append to the callers and agents that
+// wait for the group. It returns an error when the owner must stop.
+func (o *Owner) completeGroup(g appendGroup, err error) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err == nil && !o.owned() {
@@ -182,44 +193,45 @@
 	}
 	if err != nil {
 		for _, w := range g.writes {
-			w.done <- settleFailure(err)
+			w.done <- appendFailure(err)
 		}
 		if errors.Is(err, infra.ErrTooLarge) && len(g.keys) == 0 {
 			return nil
 		}
-		// Outcomes must not be dropped: agents hold them until they are durable,
-		// and the next run of the partition gets them again.
+		// Outcomes must not be dropped. Stopping the owner is safe: agents keep
+		// results until they are durable, and send them again to the next owner.
 		return err
 	}
-	o.buffered -= g.bytes
+	o.bufferedBytes -= g.bytes
 	for _, key := range g.keys {
-		delete(o.unsettled, key)
+		delete(o.pendingOutcomes, key)
 	}
 	for _, w := range g.writes {
 		w.done <- nil
 	}
 	for _, a := range g.acks {
 		if f := o.feeds[a.agent]; f != nil {
-			f.durable(a.ref)
+			f.ackDurable(a.ref)
 		}
 	}
 	return nil
 }
 
-func settleFailure(err error) error {
+func appendFailure(err error) error {
 	if errors.Is(err, infra.ErrTooLarge) {
 		return apierr.New(apierr.CodeTooLarge, "record over the log's limit")
 	}
 	return apierr.Unknown(apierr.CodeNotOwner, "partition changed hands").After(time.Second)
 }
 
-// commit queues entries and waits until they were read back, or ctx ends.
+// commit queues entries and waits until they are read back from the log or ctx
+// ends.
 func (o *Owner) commit(ctx context.Context, entries ...*wire.Entry) error {
-	w := &write{entries: entries, done: make(chan error, 1)}
+	w := &pendingWrite{entries: entries, done: make(chan error, 1)}
 	for _, e := range entries {
 		w.size += proto.Size(e) + outcomeOverhead
 	}
-	if w.size > o.cfg.RecordLimit-envelopeSlack {
+	if w.size > o.cfg.RecordLimit-envelopeReserve {
 		return apierr.New(apierr.CodeTooLarge, "record of %d bytes is over the log's limit", w.size)
 	}
 	o.mu.Lock()
@@ -231,25 +243,26 @@
 		o.mu.Unlock()
 		return apierr.New(apierr.CodeLogDown, "the platform's log does not answer").After(time.Second)
 	}
-	o.waiting = append(o.waiting, w)
+	o.queuedWrites = append(o.queuedWrites, w)
 	o.mu.Unlock()
 	o.wake()
 	select {
 	case err := <-w.done:
 		return err
 	case <-ctx.Done():
-		return o.withdraw(w)
+		return o.withdrawWrite(w)
 	}
 }
 
-// withdraw gives a write up. One that was not appended yet never will be, so
-// that "not run" is true; the outcome of one that is under way is unknown.
-func (o *Owner) withdraw(w *write) error {
+// withdrawWrite cancels a write whose caller no longer waits. A write that is
+// still queued is never appended, so the error says that it did not run. The
+// outcome of a write that is being appended is unknown.
+func (o *Owner) withdrawWrite(w *pendingWrite) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for i, other := range o.waiting {
-		if other == w {
-			o.waiting = append(o.waiting[:i:i], o.waiting[i+1:]...)
+	for i, queued := range o.queuedWrites {
+		if queued == w {
+			o.queuedWrites = append(o.queuedWrites[:i:i], o.queuedWrites[i+1:]...)
 			return apierr.New(apierr.CodeLogDown, "the platform's log does not answer").After(time.Second)
 		}
 	}
--- a/ledger/dispatch.go
+++ b/ledger/dispatch.go
@@ -12,26 +12,26 @@
 	"pumiceford/wire"
 )
 
-// maxGrants bounds the items in one message to an agent.
-const maxGrants = 256
-
-// grantsFor picks items for an agent that asked, reads their payloads and, for
-// non-idempotent ones, records their start. Nothing is granted before the
-// grace period after a takeover, while results pile up, or on a drain.
-func (o *Owner) grantsFor(ctx context.Context, f *feed) []*wire.Grant {
-	picks := o.pick(f)
+// maxGrantsPerMessage bounds the items in one message to an agent.
+const maxGrantsPerMessage = 256
+
+// nextGrants picks items for an agent that asked for work, records the start of
+// non-idempotent ones and reads their payloads. It grants nothing during the
+// grace period after a takeover, while the result buffer is full, or on a drain.
+func (o *Owner) nextGrants(ctx context.Context, f *feed) []*wire.Grant {
+	picks := o.pickItems(f)
 	if len(picks) == 0 {
 		return nil
 	}
 	picks = o.recordStarts(ctx, f, picks)
 	grants := make([]*wire.Grant, 0, len(picks))
 	for _, pick := range picks {
-		g, err := o.grant(ctx, pick)
+		g, err := o.newGrant(ctx, pick)
 		switch {
 		case apierr.Is(err, apierr.CodeBadRequest):
 			o.failItem(pick.Key, ReasonBadItem)
 		case err != nil:
-			o.giveBack(f.agent, pick.Key)
+			o.handBack(f.agent, pick.Key)
 		default:
 			grants = append(grants, g)
 		}
@@ -39,25 +39,28 @@
 	return grants
 }
 
-func (o *Owner) pick(f *feed) []batch.Pick {
+// pickItems chooses the items to grant to an agent. It returns none while the
+// owner must not dispatch.
+func (o *Owner) pickItems(f *feed) []batch.Pick {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
 	if !o.owned() || o.draining || !f.declared || f.leaving || f.want <= 0 {
 		return nil
 	}
-	if now.Sub(o.tookOver) < o.cfg.Grace || o.buffered >= o.cfg.MaxBuffered {
+	if now.Sub(o.takenOverAt) < o.cfg.Grace || o.bufferedBytes >= o.cfg.MaxBuffered {
 		return nil
 	}
 	o.disp.SetShares(o.cfg.Share)
-	picks := o.disp.Grant(now, f.agent, min(f.want, maxGrants), f.models)
+	picks := o.disp.Grant(now, f.agent, min(f.want, maxGrantsPerMessage), f.models)
 	f.want -= len(picks)
 	return picks
 }
 
 // recordStarts makes the starts of non-idempotent items durable before they are
-// granted. Without it a new owner could not tell which of them may have run, and
-// would run one twice or not at all.
+// granted. Without the record a new owner could not tell which items may have
+// run, and would run an item twice or not at all. If the write fails, the
+// non-idempotent items go back to the queue.
 func (o *Owner) recordStarts(ctx context.Context, f *feed, picks []batch.Pick) []batch.Pick {
 	starts := make(map[batch.JobID][]uint32)
 	for _, pick := range picks {
@@ -78,7 +81,7 @@
 	kept := picks[:0]
 	for _, pick := range picks {
 		if pick.Job.Commit.GetNonIdempotent() {
-			o.giveBack(f.agent, pick.Key)
+			o.handBack(f.agent, pick.Key)
 			continue
 		}
 		kept = append(kept, pick)
@@ -86,20 +89,23 @@
 	return kept
 }
 
-func (o *Owner) giveBack(agent string, key batch.ItemKey) {
+// handBack queues again an item that was picked but not sent to the agent.
+func (o *Owner) handBack(agent string, key batch.ItemKey) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.disp.HandBack(key, agent)
 }
 
+// failItem records an item as failed without an execution.
 func (o *Owner) failItem(key batch.ItemKey, reason string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.addOutcome(key, &wire.Outcome{Index: key.Index, Reason: reason}, ackRef{})
+	o.bufferOutcome(key, &wire.Outcome{Index: key.Index, Reason: reason}, resultAck{})
 }
 
-func (o *Owner) grant(ctx context.Context, pick batch.Pick) (*wire.Grant, error) {
-	line, err := o.line(ctx, pick.Job, pick.Key.Index)
+// newGrant reads an item's payload and builds the grant for it.
+func (o *Owner) newGrant(ctx context.Context, pick batch.Pick) (*wire.Grant, error) {
+	line, err := o.itemLine(ctx, pick.Job, pick.Key.Index)
 	if err != nil {
 		return nil, err
 	}
@@ -128,39 +134,39 @@
 	}, nil
 }
 
-// line returns the caller's line of an item.
-func (o *Owner) line(ctx context.Context, j *batch.Job, index uint32) ([]byte, error) {
+// itemLine returns an item's line of the input file.
+func (o *Owner) itemLine(ctx context.Context, j *batch.Job, index uint32) ([]byte, error) {
 	var file batch.FileID
 	copy(file[:], j.Commit.GetFile())
 	o.mu.Lock()
 	f := o.part.File(file)
 	if f == nil {
 		o.mu.Unlock()
-		return nil, apierr.New(apierr.CodeNotFound, "file is gone")
+		return nil, apierr.New(apierr.CodeNotFound, "input file does not exist")
 	}
 	number, line, ok := f.Locate(index)
 	off, known := f.ChunkOffset(number)
 	o.mu.Unlock()
 	if !ok || !known {
-		return nil, apierr.New(apierr.CodeBadRequest, "no such item")
+		return nil, apierr.New(apierr.CodeBadRequest, "input file has no such item")
 	}
 	chunk, err := o.chunks.get(ctx, file, number, off)
 	if err != nil {
 		return nil, err
 	}
 	if int(line) >= len(chunk.GetLines()) {
-		return nil, apierr.New(apierr.CodeBadRequest, "no such line")
+		return nil, apierr.New(apierr.CodeBadRequest, "chunk of the input file has no such line")
 	}
 	return chunk.GetLines()[line], nil
 }
 
-// chunkCache keeps the chunks that are being granted or read.
+// chunkCache is an LRU cache of file chunks that are being granted or read.
 type chunkCache struct {
 	log    infra.Log
 	stream string
 
 	mu    sync.Mutex
-	order *list.List // front is the most recent
+	lru   *list.List // front is the most recent
 	items map[chunkKey]*list.Element
 }
 
@@ -174,23 +180,24 @@
 	chunk *wire.PutChunk
 }
 
-// maxCachedChunks bounds the payloads in memory: 32 chunks of at most 256 KiB.
+// maxCachedChunks bounds the cached payloads to 32 chunks of at most 256 KiB.
 const maxCachedChunks = 32
 
 func newChunkCache(log infra.Log, stream string) *chunkCache {
-	return &chunkCache{log: log, stream: stream, order: list.New(), items: make(map[chunkKey]*list.Element)}
+	return &chunkCache{log: log, stream: stream, lru: list.New(), items: make(map[chunkKey]*list.Element)}
 }
 
+// get returns a chunk, read from the log at offset if it is not cached.
 func (c *chunkCache) get(ctx context.Context, file batch.FileID, number uint32, offset uint64) (*wire.PutChunk, error) {
 	key := chunkKey{file: file, number: number}
 	c.mu.Lock()
 	if el, ok := c.items[key]; ok {
-		c.order.MoveToFront(el)
+		c.lru.MoveToFront(el)
 		c.mu.Unlock()
 		return el.Value.(chunkEntry).chunk, nil
 	}
 	c.mu.Unlock()
-	data, err := readOne(ctx, c.log, c.stream, offset)
+	data, err := readRecord(ctx, c.log, c.stream, offset)
 	if err != nil {
 		return nil, err
 	}
@@ -206,22 +213,23 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if el, ok := c.items[key]; ok {
-		c.order.MoveToFront(el)
+		c.lru.MoveToFront(el)
 		return
 	}
-	c.items[key] = c.order.PushFront(chunkEntry{key: key, chunk: chunk})
-	for c.order.Len() > maxCachedChunks {
-		last := c.order.Back()
+	c.items[key] = c.lru.PushFront(chunkEntry{key: key, chunk: chunk})
+	for c.lru.Len() > maxCachedChunks {
+		last := c.lru.Back()
 		delete(c.items, last.Value.(chunkEntry).key)
-		c.order.Remove(last)
+		c.lru.Remove(last)
 	}
 }
 
 // logReadTimeout bounds a read of one record.
 const logReadTimeout = 3 * time.Second
 
-// readOne returns the record at an offset.
-func readOne(ctx context.Context, log infra.Log, stream string, offset uint64) ([]byte, error) {
+// readRecord returns the data of the record at an offset. It fails with
+// CodeLogDown when the log cannot be read.
+func readRecord(ctx context.Context, log infra.Log, stream string, offset uint64) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, logReadTimeout)
 	defer cancel()
 	page, err := log.Read(ctx, stream, offset, 1, 0)
--- a/ledger/feed.go
+++ b/ledger/feed.go
@@ -12,7 +12,7 @@
 	"pumiceford/wire"
 )
 
-// ErrStreamClosed says that a batch stream was closed by this side.
+// ErrStreamClosed reports that this side closed a batch stream.
 var ErrStreamClosed = errors.New("batch stream closed")
 
 // Stream is one batch stream to an agent.
@@ -22,49 +22,51 @@
 	Close()
 }
 
-// feed is an owner's side of the batch stream to one agent. feed.mu guards the
-// outgoing message; Owner.mu guards the rest.
+// feed is the owner's side of the batch stream to one agent. feed.mu guards the
+// next outgoing message.
 type feed struct {
-	owner *Owner
-	agent string
-	st    Stream
+	owner  *Owner
+	agent  string
+	stream Stream
 
-	mu     sync.Mutex
-	out    *wire.FeedDown
-	signal chan struct{}
-	gone   chan struct{}
-	once   sync.Once
+	mu        sync.Mutex
+	outgoing  *wire.FeedDown
+	wakeup    chan struct{}
+	closed    chan struct{}
+	closeOnce sync.Once
 
 	// Guarded by Owner.mu.
-	want     int
-	models   []string
-	inc      string
-	declared bool
-	leaving  bool
+	want        int      // items that the agent asked for and was not granted yet
+	models      []string // models that the agent serves
+	incarnation string
+	declared    bool // the agent has named all that it holds of the partition
+	leaving     bool
 }
 
-// feedKeepalive is the longest time between two messages to an agent. It must
-// be well below the agent's LeaseFor.
+// feedKeepalive is the longest time between two messages to an agent. It must be
+// well below the lease that an agent takes from each message.
 const feedKeepalive = time.Second
 
-// Attach serves the batch stream to an agent until it ends.
+// Attach serves the batch stream to an agent until the stream or ctx ends.
 func (o *Owner) Attach(ctx context.Context, agent string, st Stream) {
 	f := &feed{
-		owner:  o,
-		agent:  agent,
-		st:     st,
-		out:    &wire.FeedDown{},
-		signal: make(chan struct{}, 1),
-		gone:   make(chan struct{}),
+		owner:    o,
+		agent:    agent,
+		stream:   st,
+		outgoing: &wire.FeedDown{},
+		wakeup:   make(chan struct{}, 1),
+		closed:   make(chan struct{}),
 	}
 	if !o.addFeed(f) {
 		return
 	}
 	defer o.removeFeed(f)
-	go f.read()
-	f.run(ctx)
+	go f.recvLoop()
+	f.sendLoop(ctx)
 }
 
+// addFeed registers a feed and closes an earlier one of the same agent. It
+// reports false when the owner has lost the partition.
 func (o *Owner) addFeed(f *feed) bool {
 	o.mu.Lock()
 	old := o.feeds[f.agent]
@@ -73,11 +75,12 @@
 		return false
 	}
 	o.feeds[f.agent] = f
-	delete(o.lost, f.agent)
-	// A job cancelled while this agent was away may still be queued there.
+	delete(o.disconnectedAt, f.agent)
+	// A job that was cancelled while the agent was disconnected may still be
+	// queued there.
 	o.part.Jobs(func(j *batch.Job) bool {
 		if j.State() == batch.JobCancelled {
-			f.out.Cancelled = append(f.out.Cancelled, o.jobRef(j.ID))
+			f.outgoing.Cancelled = append(f.outgoing.Cancelled, o.jobRef(j.ID))
 		}
 		return true
 	})
@@ -94,51 +97,53 @@
 	defer o.mu.Unlock()
 	if o.feeds[f.agent] == f {
 		delete(o.feeds, f.agent)
-		o.lost[f.agent] = time.Now()
+		o.disconnectedAt[f.agent] = time.Now()
 	}
 }
 
 func (f *feed) close() {
-	f.once.Do(func() {
-		close(f.gone)
-		f.st.Close()
+	f.closeOnce.Do(func() {
+		close(f.closed)
+		f.stream.Close()
 	})
 }
 
 func (f *feed) wake() {
 	select {
-	case f.signal <- struct{}{}:
+	case f.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-func (f *feed) durable(ref *wire.ItemRef) {
+// ackDurable queues the notice that a result is durable.
+func (f *feed) ackDurable(ref *wire.ItemRef) {
 	f.mu.Lock()
-	f.out.Durable = append(f.out.Durable, ref)
+	f.outgoing.Durable = append(f.outgoing.Durable, ref)
 	f.mu.Unlock()
 	f.wake()
 }
 
-func (f *feed) cancelled(ref *wire.JobRef) {
+// notifyCancelled queues the notice that a job is cancelled.
+func (f *feed) notifyCancelled(ref *wire.JobRef) {
 	f.mu.Lock()
-	f.out.Cancelled = append(f.out.Cancelled, ref)
+	f.outgoing.Cancelled = append(f.outgoing.Cancelled, ref)
 	f.mu.Unlock()
 	f.wake()
 }
 
-// run sends messages: grants, acknowledgements, cancels, and the epoch that
-// keeps the agent's lease.
-func (f *feed) run(ctx context.Context) {
+// sendLoop sends grants, acknowledgements and cancellations to the agent. Each
+// message carries the epoch, which renews the agent's lease.
+func (f *feed) sendLoop(ctx context.Context) {
 	tick := time.NewTicker(feedKeepalive)
 	defer tick.Stop()
 	var sent time.Time
 	for {
-		grants := f.owner.grantsFor(ctx, f)
-		m := f.take()
+		grants := f.owner.nextGrants(ctx, f)
+		m := f.takeOutgoing()
 		m.Grants = grants
 		idle := len(grants) == 0 && len(m.Durable) == 0 && len(m.Cancelled) == 0
 		if !idle || time.Since(sent) >= feedKeepalive/2 {
-			if !f.owner.stamp(m) || f.st.Send(m) != nil {
+			if !f.owner.addEpoch(m) || f.stream.Send(m) != nil {
 				return
 			}
 			sent = time.Now()
@@ -146,50 +151,56 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.gone:
+		case <-f.closed:
 			return
-		case <-f.signal:
+		case <-f.wakeup:
 		case <-tick.C:
 		}
 	}
 }
 
-func (f *feed) take() *wire.FeedDown {
+// takeOutgoing returns the queued notices and clears the queue.
+func (f *feed) takeOutgoing() *wire.FeedDown {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m := f.out
-	f.out = &wire.FeedDown{}
+	m := f.outgoing
+	f.outgoing = &wire.FeedDown{}
 	return m
 }
 
-// stamp adds the owner's epoch. It reports false when the partition is lost;
-// then nothing more may be sent, or the agent would take it for a live owner.
-func (o *Owner) stamp(m *wire.FeedDown) bool {
+// addEpoch adds the owner's epoch and backlog to a message. It reports false
+// when this node no longer owns the partition. Then nothing more may be sent,
+// because every message renews the agent's lease from this owner.
+func (o *Owner) addEpoch(m *wire.FeedDown) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.owned() || o.closed {
 		return false
 	}
 	m.Epochs = []*wire.PartitionEpoch{{Partition: o.number, Epoch: o.epoch}}
-	m.Backlog = uint32(min(o.disp.Backlog(), maxBacklogTold))
+	m.Backlog = uint32(min(o.disp.Backlog(), maxReportedBacklog))
 	return true
 }
 
-// maxBacklogTold bounds the backlog in messages; agents only compare it with 0.
-const maxBacklogTold = 1 << 30
+// maxReportedBacklog bounds the backlog in a message, so that it fits the field.
+// Agents only compare it with 0.
+const maxReportedBacklog = 1 << 30
 
-func (f *feed) read() {
+// recvLoop handles the agent's messages until the stream ends.
+func (f *feed) recvLoop() {
 	defer f.close()
 	for {
 		m := &wire.FeedUp{}
-		if f.st.Recv(m) != nil {
+		if f.stream.Recv(m) != nil {
 			return
 		}
-		f.owner.takeUp(f, m)
+		f.owner.handleMessage(f, m)
 	}
 }
 
-func keyOf(ref *wire.ItemRef) (batch.ItemKey, bool) {
+// itemKey converts a reference from the wire. It reports false when the job id
+// has the wrong length.
+func itemKey(ref *wire.ItemRef) (batch.ItemKey, bool) {
 	var key batch.ItemKey
 	if len(ref.GetJob()) != len(key.Job) {
 		return key, false
@@ -199,8 +210,8 @@
 	return key, true
 }
 
-// takeUp applies one message of an agent.
-func (o *Owner) takeUp(f *feed, m *wire.FeedUp) {
+// handleMessage applies one message from an agent.
+func (o *Owner) handleMessage(f *feed, m *wire.FeedUp) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.owned() || o.feeds[f.agent] != f {
@@ -208,10 +219,10 @@
 	}
 	f.models = m.GetModels()
 	f.leaving = m.GetLeaving()
-	o.declare(f, m)
-	o.takeItems(f, m)
+	o.reconcileHeld(f, m)
+	o.handleItems(f, m)
 	for _, ref := range m.GetStopped() {
-		o.confirmStop(f.agent, ref)
+		o.confirmCancel(f.agent, ref)
 	}
 	if m.Want != nil {
 		f.want = int(m.GetWant())
@@ -219,56 +230,62 @@
 	f.wake()
 }
 
-func (o *Owner) takeItems(f *feed, m *wire.FeedUp) {
+// handleItems applies the starts, results and returned items of a message.
+// Owner.mu must be held.
+func (o *Owner) handleItems(f *feed, m *wire.FeedUp) {
 	for _, ref := range m.GetStarted() {
-		if key, ok := o.mine(ref); ok {
+		if key, ok := o.ownItemKey(ref); ok {
 			o.disp.MarkStarted(key, f.agent)
 		}
 	}
 	for _, res := range m.GetResults() {
-		o.takeResult(f, res)
+		o.handleResult(f, res)
 	}
 	for _, ref := range m.GetHandedBack() {
-		if key, ok := o.mine(ref); ok {
+		if key, ok := o.ownItemKey(ref); ok {
 			o.disp.HandBack(key, f.agent)
 		}
 	}
 }
 
-func (o *Owner) mine(ref *wire.ItemRef) (batch.ItemKey, bool) {
+// ownItemKey converts a reference. It reports false when the item belongs to
+// another partition.
+func (o *Owner) ownItemKey(ref *wire.ItemRef) (batch.ItemKey, bool) {
 	if ref.GetPartition() != o.number {
 		return batch.ItemKey{}, false
 	}
-	return keyOf(ref)
+	return itemKey(ref)
 }
 
-// declare adopts what an agent holds. What this owner granted and the agent does
-// not hold was lost on the way, or with an earlier run of the agent.
-func (o *Owner) declare(f *feed, m *wire.FeedUp) {
-	mine := false
+// reconcileHeld compares the items that an agent holds with the granted ones.
+// It adopts held items. Granted items that the agent does not hold were lost on
+// the way or with an earlier run of the agent, and are queued again. Owner.mu
+// must be held.
+func (o *Owner) reconcileHeld(f *feed, m *wire.FeedUp) {
+	declared := false
 	for _, p := range m.GetDeclared() {
-		mine = mine || p == o.number
+		declared = declared || p == o.number
 	}
-	if !mine {
+	if !declared {
 		return
 	}
 	f.declared = true
-	f.inc = string(m.GetIncarnation())
+	f.incarnation = string(m.GetIncarnation())
 	held := make(map[batch.ItemKey]bool)
 	for _, ref := range m.GetHeld() {
-		key, ok := o.mine(ref)
+		key, ok := o.ownItemKey(ref)
 		if !ok {
 			continue
 		}
 		held[key] = true
 		if !o.disp.Adopt(key, f.agent) {
-			f.durable(ref)
+			f.ackDurable(ref)
 		}
 	}
-	restarted := o.incarnations[f.agent] != "" && o.incarnations[f.agent] != f.inc
-	o.incarnations[f.agent] = f.inc
+	restarted := o.incarnations[f.agent] != "" && o.incarnations[f.agent] != f.incarnation
+	o.incarnations[f.agent] = f.incarnation
 	if restarted {
-		o.agentLost(f.agent, held)
+		o.requeueLost(f.agent, held)
 		return
 	}
 	for _, key := range o.disp.HeldBy(f.agent) {
@@ -278,7 +295,8 @@
 	}
 }
 
-// forgetAgent drops what is kept of an agent that is gone.
+// forgetAgent drops the state of a lost agent and stops waiting for its cancel
+// confirmations. Owner.mu must be held.
 func (o *Owner) forgetAgent(agent string) {
 	delete(o.incarnations, agent)
 	for _, w := range o.cancels {
@@ -286,37 +304,40 @@
 	}
 }
 
-// expireAgents gives up on agents that have been away too long.
+// expireAgents declares agents lost that have been disconnected for
+// AgentLostAfter.
 func (o *Owner) expireAgents(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.owned() {
 		return
 	}
-	for agent, since := range o.lost {
+	for agent, since := range o.disconnectedAt {
 		if now.Sub(since) < o.cfg.AgentLostAfter {
 			continue
 		}
-		delete(o.lost, agent)
-		o.agentLost(agent, nil)
+		delete(o.disconnectedAt, agent)
+		o.requeueLost(agent, nil)
 		o.forgetAgent(agent)
 		o.log.Warn("agent lost", logging.F("agent", agent), logging.F("partition", o.number))
 	}
-	o.endInDoubt(now)
+	o.failInDoubt(now)
 }
 
-// agentLost requeues what a lost agent held, but for what its successor holds.
-func (o *Owner) agentLost(agent string, held map[batch.ItemKey]bool) {
+// requeueLost queues again the items of a lost agent, except those in held,
+// which the agent's next incarnation holds. Items that must not run again are
+// recorded as failed. Owner.mu must be held.
+func (o *Owner) requeueLost(agent string, held map[batch.ItemKey]bool) {
 	for _, key := range o.disp.AgentLost(agent, held) {
 		reason := ReasonTargetLost
 		if j := o.part.Job(key.Job); j != nil && j.Commit.GetNonIdempotent() {
 			reason = ReasonOutcomeUnknown
 		}
-		o.addOutcome(key, &wire.Outcome{Index: key.Index, Reason: reason}, ackRef{})
+		o.bufferOutcome(key, &wire.Outcome{Index: key.Index, Reason: reason}, resultAck{})
 	}
 }
 
-// Reasons of items that end as failed without a word from an engine.
+// Reasons of items that are recorded as failed without an answer of an engine.
 const (
 	ReasonTargetLost     = "target lost repeatedly while the item ran alone"
 	ReasonOutcomeUnknown = "outcome unknown"
@@ -324,13 +345,14 @@
 	ReasonBadItem        = "item cannot be read"
 )
 
-// endInDoubt ends started non-idempotent items of which no agent has told for
-// InDoubtAfter since the takeover. They may have run, so they never run again.
-func (o *Owner) endInDoubt(now time.Time) {
-	if o.doubtDone || now.Sub(o.tookOver) < o.cfg.InDoubtAfter {
+// failInDoubt records started non-idempotent items as failed when no agent has
+// reported them within InDoubtAfter since the takeover. They may have run, so
+// they never run again. Owner.mu must be held.
+func (o *Owner) failInDoubt(now time.Time) {
+	if o.inDoubtResolved || now.Sub(o.takenOverAt) < o.cfg.InDoubtAfter {
 		return
 	}
-	o.doubtDone = true
+	o.inDoubtResolved = true
 	o.part.Jobs(func(j *batch.Job) bool {
 		if j.State() != batch.JobRunning || !j.Commit.GetNonIdempotent() {
 			return true
@@ -339,24 +361,24 @@
 		for it.HasNext() {
 			key := batch.ItemKey{Job: j.ID, Index: it.Next()}
 			if o.disp.InDoubt(key) {
-				o.addOutcome(key, &wire.Outcome{Index: key.Index, Reason: ReasonOutcomeUnknown}, ackRef{})
+				o.bufferOutcome(key, &wire.Outcome{Index: key.Index, Reason: ReasonOutcomeUnknown}, resultAck{})
 			}
 		}
 		return true
 	})
 }
 
-// takeResult takes one execution's outcome.
-func (o *Owner) takeResult(f *feed, res *wire.ItemResult) {
-	key, ok := o.mine(res.GetRef())
+// handleResult processes the outcome of one execution. Owner.mu must be held.
+func (o *Owner) handleResult(f *feed, res *wire.ItemResult) {
+	key, ok := o.ownItemKey(res.GetRef())
 	if !ok {
 		return
 	}
-	if holder, ok := o.unsettled[key]; ok {
-		// Another agent's copy is not needed: the holder keeps its own until the
-		// outcome is durable.
+	if holder, ok := o.pendingOutcomes[key]; ok {
+		// A copy from another agent is not needed, because the holder keeps its
+		// own until the outcome is durable.
 		if holder != f.agent {
-			f.durable(res.GetRef())
+			f.ackDurable(res.GetRef())
 		}
 		return
 	}
@@ -368,7 +390,7 @@
 	})
 	switch verdict {
 	case batch.VerdictIgnore, batch.VerdictRetry:
-		f.durable(res.GetRef())
+		f.ackDurable(res.GetRef())
 	case batch.VerdictSuccess, batch.VerdictFailed:
 		oc := &wire.Outcome{
 			Index:            key.Index,
@@ -379,23 +401,24 @@
 			CompletionTokens: res.GetCompletionTokens(),
 			CustomId:         res.GetCustomId(),
 		}
-		o.addOutcome(key, oc, ackRef{agent: f.agent, ref: res.GetRef()})
+		o.bufferOutcome(key, oc, resultAck{agent: f.agent, ref: res.GetRef()})
 	}
 }
 
-// addOutcome buffers an outcome until it is appended.
-func (o *Owner) addOutcome(key batch.ItemKey, oc *wire.Outcome, ack ackRef) {
-	if _, ok := o.unsettled[key]; ok {
+// bufferOutcome adds an outcome to the next results record. An outcome over half
+// of the record limit is replaced by a failure. Owner.mu must be held.
+func (o *Owner) bufferOutcome(key batch.ItemKey, oc *wire.Outcome, ack resultAck) {
+	if _, ok := o.pendingOutcomes[key]; ok {
 		return
 	}
 	if outcomeSize(oc) > o.cfg.RecordLimit/2 {
 		oc = &wire.Outcome{Index: oc.GetIndex(), Reason: ReasonTooLarge}
 	}
 	if len(o.results) == 0 {
-		o.resultsAt = time.Now()
+		o.resultsSince = time.Now()
 	}
-	o.unsettled[key] = ack.agent
+	o.pendingOutcomes[key] = ack.agent
 	o.results[key.Job] = append(o.results[key.Job], oc)
-	o.resultRefs[key.Job] = append(o.resultRefs[key.Job], ack)
-	o.buffered += outcomeSize(oc)
+	o.resultAcks[key.Job] = append(o.resultAcks[key.Job], ack)
+	o.bufferedBytes += outcomeSize(oc)
 }
--- a/ledger/lease.go
+++ b/ledger/lease.go
@@ -12,25 +12,28 @@
 	"pumiceford/wire"
 )
 
-// owned reports whether this node still owns the partition as far as it has read.
-// Owner.mu must be held.
+// owned reports whether this node owns the partition according to the records
+// read so far. Owner.mu must be held.
 func (o *Owner) owned() bool {
 	return o.epoch != 0 && o.part.Epoch() == o.epoch && o.part.OwnedBy(o.inc)
 }
 
-// followEvery is how often an idle owner looks for a takeover by another node.
-// Agents refuse a superseded owner's grants meanwhile, by their epoch.
-const followEvery = 2 * time.Second
+// followInterval is how often an idle owner reads the stream to detect a takeover
+// by another node. Until then agents refuse a superseded owner's grants by their
+// epoch.
+const followInterval = 2 * time.Second
 
-// follow reads the stream now and then, so that a superseded owner notices.
-func (o *Owner) follow(ctx context.Context) error {
+// followStream reads the stream to its tail every followInterval, or when a
+// caller asks for it, so that a superseded owner stops. It releases the
+// partition when a drain is complete.
+func (o *Owner) followStream(ctx context.Context) error {
 	o.mu.Lock()
-	due := time.Since(o.followTried) >= followEvery || o.askedFresh
+	due := time.Since(o.followedAt) >= followInterval || o.catchupRequested
 	if due {
-		o.followTried = time.Now()
-		o.askedFresh = false
+		o.followedAt = time.Now()
+		o.catchupRequested = false
 	}
-	drained := o.draining && len(o.waiting) == 0 && len(o.results) == 0
+	drained := o.draining && len(o.queuedWrites) == 0 && len(o.results) == 0
 	o.mu.Unlock()
 	if drained {
 		return o.release(ctx)
@@ -46,7 +49,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err == nil {
-		o.followed = began
+		o.caughtUpAt = began
 	}
 	if !o.owned() {
 		return errSuperseded
@@ -54,28 +57,28 @@
 	return nil
 }
 
-// freshFor is how long after reading the stream to its tail an owner answers
-// from memory. It is the lease of its answers: an owner that took over from one
-// that did not release answers nothing for as long, so that the two never
-// contradict each other, also when the first was paused and resumes.
-const freshFor = 500 * time.Millisecond
+// readLeaseDuration is how long after reading the stream to its tail an owner
+// answers from memory. An owner that took over without a release waits as long
+// before its first answer, so that the answers of both never contradict each
+// other, even when the previous owner was paused and resumes.
+const readLeaseDuration = 500 * time.Millisecond
 
-// freshPatience bounds the wait for such a read.
-const freshPatience = 2 * time.Second
+// readLeaseTimeout bounds the time that a request waits for the read lease.
+const readLeaseTimeout = 2 * time.Second
 
-// freshen waits until the owner has read its stream lately. An owner that was
-// paused may be superseded without knowing; its answers would show a job as it
-// was before. While the log does not answer there is nothing to wait for, and
-// the last known state is what callers get.
-func (o *Owner) freshen(ctx context.Context) error {
-	until := time.Now().Add(freshPatience)
+// renewReadLease waits until the owner holds the read lease. An owner that was
+// paused may be superseded without knowing it, and would report an old state of
+// a job. While the log does not answer, the lease cannot be renewed, and callers
+// get the last known state.
+func (o *Owner) renewReadLease(ctx context.Context) error {
+	until := time.Now().Add(readLeaseTimeout)
 	for {
 		o.mu.Lock()
 		now := time.Now()
-		fresh := now.Sub(o.followed) <= freshFor && !now.Before(o.answersFrom)
-		o.askedFresh = !fresh
+		fresh := now.Sub(o.caughtUpAt) <= readLeaseDuration && !now.Before(o.readsAllowedAt)
+		o.catchupRequested = !fresh
 		o.mu.Unlock()
-		if fresh || (o.stream.Failing() && !now.Before(o.answersFrom)) {
+		if fresh || (o.stream.Failing() && !now.Before(o.readsAllowedAt)) {
 			return nil
 		}
 		if ctx.Err() != nil || time.Now().After(until) {
@@ -86,15 +89,16 @@
 	}
 }
 
-// Release hands the partition over on a planned stop: nothing new is granted,
-// what was computed is made durable, and the release record lets the next owner
-// start at once.
+// Release starts the planned handover of the partition. The owner grants nothing
+// more, makes computed results durable, and appends a release record that lets
+// the next owner start at once. It does not wait; see Done.
 func (o *Owner) Release() {
 	o.mu.Lock()
 	o.draining = true
 	o.mu.Unlock()
 }
 
+// release appends the release record and returns errReleased.
 func (o *Owner) release(ctx context.Context) error {
 	entry := &wire.Entry{Kind: &wire.Entry_Release{Release: &wire.Release{Owner: o.cfg.Node}}}
 	if _, err := o.stream.Write(ctx, o.epoch, []*wire.Entry{entry}); err != nil {
--- a/ledger/maintain.go
+++ b/ledger/maintain.go
@@ -15,41 +15,42 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// snapshotShare is the part of the retention after which a snapshot is written
-// again even when little has happened.
-const snapshotShare = 4
+// A snapshot that is older than this part of the retention is written again,
+// even if few records followed it.
+const snapshotRetentionDivisor = 4
 
-// carryShare is the part of the retention after which needed records are
-// repeated.
-const carryShare = 2
+// Records that are still needed are carried forward when they are older than
+// this part of the retention.
+const carryRetentionDivisor = 2
 
-// maintain writes snapshots and repeats old records that are still needed.
-// While the log does not answer it does nothing; flush would be stuck as well.
+// maintain writes a snapshot when one is due or requested, and before it carries
+// forward old records that are still needed. While the log does not answer, it
+// waits for it as flush does.
 func (o *Owner) maintain(ctx context.Context) error {
 	o.mu.Lock()
-	behind := o.part.Next() - o.snapAt
-	old := time.Since(o.snapTime) >= o.cfg.Retention/snapshotShare
-	asked := o.snapAsked
-	o.snapAsked = nil
+	behind := o.part.Next() - o.snapshotOffset
+	old := time.Since(o.snapshotTime) >= o.cfg.Retention/snapshotRetentionDivisor
+	requests := o.snapshotRequests
+	o.snapshotRequests = nil
 	o.mu.Unlock()
-	if behind < o.cfg.SnapshotEvery && !old && len(asked) == 0 {
+	if behind < o.cfg.SnapshotEvery && !old && len(requests) == 0 {
 		return nil
 	}
 	err := o.carry(ctx)
 	if err == nil {
 		err = o.snapshot(ctx)
 	}
-	for _, done := range asked {
+	for _, done := range requests {
 		done <- err
 	}
 	return err
 }
 
-// Snapshot writes a snapshot now and returns when it was read back.
+// Snapshot requests a snapshot and waits until it is read back or ctx ends.
 func (o *Owner) Snapshot(ctx context.Context) error {
 	done := make(chan error, 1)
 	o.mu.Lock()
-	o.snapAsked = append(o.snapAsked, done)
+	o.snapshotRequests = append(o.snapshotRequests, done)
 	o.mu.Unlock()
 	o.wake()
 	select {
@@ -60,12 +61,12 @@
 	}
 }
 
-// snapshot appends the state in parts that fit the log's limit.
+// snapshot appends the state in parts that fit the record limit.
 func (o *Owner) snapshot(ctx context.Context) error {
 	o.mu.Lock()
-	parts := o.part.Snapshot(o.cfg.RecordLimit - 2*envelopeSlack)
-	o.snapAt = o.part.Next()
-	o.snapTime = time.Now()
+	parts := o.part.Snapshot(o.cfg.RecordLimit - 2*envelopeReserve)
+	o.snapshotOffset = o.part.Next()
+	o.snapshotTime = time.Now()
 	o.mu.Unlock()
 	for _, part := range parts {
 		entry := &wire.Entry{Kind: &wire.Entry_Snapshot{Snapshot: part}}
@@ -76,14 +77,15 @@
 	return nil
 }
 
-// carry repeats needed records that are older than half of the retention, oldest
-// first. Without it an accepted item's payload or a readable result would be
-// trimmed by the platform; one would notice TrimmedError on a read.
+// carry appends again the needed records that are older than half of the
+// retention, oldest first. Otherwise the platform would trim the payload of an
+// accepted item or a result that callers may still read, and reads would fail
+// with TrimmedError.
 func (o *Owner) carry(ctx context.Context) error {
 	o.mu.Lock()
 	need := o.part.CarryBelow(o.part.Next())
 	o.mu.Unlock()
-	horizon := time.Now().Add(-o.cfg.Retention / carryShare)
+	horizon := time.Now().Add(-o.cfg.Retention / carryRetentionDivisor)
 	slices.SortFunc(need.Chunks, func(a, b batch.CarryChunk) int { return cmp.Compare(a.Offset, b.Offset) })
 	slices.SortFunc(need.Spans, func(a, b batch.CarrySpan) int { return cmp.Compare(a.Offset, b.Offset) })
 	for _, c := range need.Chunks {
@@ -104,8 +106,10 @@
 	return nil
 }
 
-// oldRecord returns a record's data when it is older than horizon.
-func (o *Owner) oldRecord(ctx context.Context, offset uint64, horizon time.Time) ([]byte, bool, error) {
+// readIfOlder returns the data of the record at offset, and whether the record
+// is older than horizon. A record that the log has trimmed counts as old and has
+// no data. While the log does not answer, it reports false.
+func (o *Owner) readIfOlder(ctx context.Context, offset uint64, horizon time.Time) ([]byte, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, logReadTimeout)
 	defer cancel()
 	page, err := o.cfg.Log.Read(ctx, StreamName(o.number), offset, 1, 0)
@@ -114,9 +118,9 @@
 	}
 	var trimmed *infra.TrimmedError
 	if errors.As(err, &trimmed) {
-		// Nothing brings it back. Stopping the partition for it, again and again,
-		// would take everything else with it: the snapshot after this would never
-		// be written and all records would be trimmed in the end.
+		// The record cannot be recovered. Failing here would stop the partition
+		// on every attempt before it writes a snapshot, and in the end the log
+		// would trim all of its records.
 		o.cfg.Metrics.Count("record_lost")
 		o.log.Error("needed record was trimmed", logging.F("partition", o.number), logging.F("offset", offset))
 		return nil, true, nil
@@ -128,8 +132,10 @@
 	return rec.Data, rec.Time.Before(horizon), nil
 }
 
+// carryChunk appends a chunk again if its record is older than horizon. It
+// reports whether the record was.
 func (o *Owner) carryChunk(ctx context.Context, c batch.CarryChunk, horizon time.Time) (bool, error) {
-	data, old, err := o.oldRecord(ctx, c.Offset, horizon)
+	data, old, err := o.readIfOlder(ctx, c.Offset, horizon)
 	if err != nil || !old {
 		return false, err
 	}
@@ -142,8 +148,10 @@
 	return true, err
 }
 
+// carrySpan appends the results of a record again if the record is older than
+// horizon. It reports whether the record was.
 func (o *Owner) carrySpan(ctx context.Context, s batch.CarrySpan, horizon time.Time) (bool, error) {
-	data, old, err := o.oldRecord(ctx, s.Offset, horizon)
+	data, old, err := o.readIfOlder(ctx, s.Offset, horizon)
 	if err != nil || !old {
 		return false, err
 	}
@@ -156,7 +164,7 @@
 		Outcomes:  batch.OutcomesIn(data, s.Job),
 	}
 	entry := &wire.Entry{Kind: &wire.Entry_CarryResults{CarryResults: carry}}
-	if proto.Size(entry) > o.cfg.RecordLimit-envelopeSlack {
+	if proto.Size(entry) > o.cfg.RecordLimit-envelopeReserve {
 		return true, infra.ErrTooLarge
 	}
 	_, err = o.stream.Write(ctx, o.epoch, []*wire.Entry{entry})
--- a/ledger/manager.go
+++ b/ledger/manager.go
@@ -12,61 +12,65 @@
 	"pumiceford/routing"
 )
 
-// Manager decides which partitions this node runs. Rendezvous hashing over the
-// live entries proposes an owner; the takeover records decide.
+// Manager starts and stops the partitions of this node. Rendezvous hashing over
+// the live entries proposes an owner for each partition; the takeover records on
+// the log decide who owns it.
 type Manager struct {
 	cfg Config
 	log logging.Logger
 
-	mu      sync.Mutex
-	entries []string // live entries that are not leaving, sorted
-	alive   []string // all live entries
+	mu         sync.Mutex
+	candidates []string // live entries that are not leaving, sorted
+	alive      []string // all live entries
 	// proposed is the owner of each partition by rendezvous hashing over
-	// entries, worked out when they change: with 340 entries it takes too long
-	// to be done at every turn.
-	proposed []string
-	owners   map[uint32]*running
-	since    map[uint32]time.Time // when this node was first proposed
-	leaving  bool
-	onOwner  func(ctx context.Context, o *Owner)
+	// candidates. It is computed only when candidates changes, because with 340
+	// entries the hashing is too slow to repeat every manageInterval.
+	proposed      []string
+	owners        map[uint32]*runningOwner
+	proposedSince map[uint32]time.Time // when this node became the proposed owner
+	leaving       bool
+	onOwner       func(ctx context.Context, o *Owner)
 }
 
-type running struct {
+// runningOwner is an Owner with the function that stops it.
+type runningOwner struct {
 	owner  *Owner
 	cancel context.CancelFunc
 }
 
-// NewManager returns a Manager. onOwner is called for every partition that is
-// being run, in a goroutine of its own, with a context that ends with it.
+// NewManager returns a Manager. It calls onOwner in a new goroutine for every
+// Owner that it starts, with a context that ends when the Owner stops.
 func NewManager(cfg Config, onOwner func(ctx context.Context, o *Owner)) *Manager {
 	cfg = cfg.withDefaults()
 	return &Manager{
-		cfg:     cfg,
-		log:     cfg.Logger.Part("ledger"),
-		owners:  make(map[uint32]*running),
-		since:   make(map[uint32]time.Time),
-		onOwner: onOwner,
+		cfg:           cfg,
+		log:           cfg.Logger.Part("ledger"),
+		owners:        make(map[uint32]*runningOwner),
+		proposedSince: make(map[uint32]time.Time),
+		onOwner:       onOwner,
 	}
 }
 
-// SetEntries gives the live entries, and those of them that are not leaving.
-func (m *Manager) SetEntries(alive, staying []string) {
-	staying = slices.Clone(staying)
-	slices.Sort(staying)
+// SetEntries sets the live entries, and those of them that are not leaving and
+// may own partitions.
+func (m *Manager) SetEntries(alive, candidates []string) {
+	candidates = slices.Clone(candidates)
+	slices.Sort(candidates)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.alive = slices.Clone(alive)
-	if slices.Equal(m.entries, staying) && m.proposed != nil {
+	if slices.Equal(m.candidates, candidates) && m.proposed != nil {
 		return
 	}
-	m.entries = staying
+	m.candidates = candidates
 	m.proposed = make([]string, m.cfg.Partitions)
 	for p := range m.proposed {
-		m.proposed[p] = routing.Best(staying, uint64(p)+1)
+		m.proposed[p] = routing.Best(candidates, uint64(p)+1)
 	}
 }
 
-// Proposed returns the entry that should own a partition, empty when there is none.
+// Proposed returns the entry that should own a partition. It returns an empty
+// string when no entry may own it.
 func (m *Manager) Proposed(partition uint32) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,8 +84,8 @@
 	return m.proposed[partition]
 }
 
-// Owner returns the running owner of a partition, nil when another node should
-// be asked.
+// Owner returns the Owner that this node runs for a partition, or nil if it runs
+// none.
 func (m *Manager) Owner(partition uint32) *Owner {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -91,7 +95,7 @@
 	return nil
 }
 
-// Owners returns all running owners, by partition.
+// Owners returns all running owners, sorted by partition.
 func (m *Manager) Owners() []*Owner {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -104,19 +108,19 @@
 }
 
 const (
-	manageEvery = 200 * time.Millisecond
-	// handOver is how long a newly proposed owner waits for the present one to
-	// release a partition, when that one is alive.
-	handOver = 5 * time.Second
+	manageInterval = 200 * time.Millisecond
+	// handoverTimeout is how long a newly proposed owner waits for a live holder
+	// to release a partition.
+	handoverTimeout = 5 * time.Second
 )
 
 // Run starts and stops owners until ctx ends.
 func (m *Manager) Run(ctx context.Context) {
-	tick := time.NewTicker(manageEvery)
+	tick := time.NewTicker(manageInterval)
 	defer tick.Stop()
 	for {
 		for p := uint32(0); p < m.cfg.Partitions; p++ {
-			m.manage(ctx, p)
+			m.reconcile(ctx, p)
 		}
 		m.cfg.Metrics.Gauge("partitions_run", float64(len(m.Owners())))
 		select {
@@ -127,37 +131,39 @@
 	}
 }
 
-func (m *Manager) manage(ctx context.Context, partition uint32) {
+// reconcile starts or releases the owner of one partition as proposed.
+func (m *Manager) reconcile(ctx context.Context, partition uint32) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	mine := !m.leaving && m.proposedLocked(partition) == m.cfg.Node
+	proposed := !m.leaving && m.proposedLocked(partition) == m.cfg.Node
 	r := m.owners[partition]
 	switch {
-	case !mine:
-		delete(m.since, partition)
+	case !proposed:
+		delete(m.proposedSince, partition)
 		if r != nil {
 			r.owner.Release()
 		}
 	case r == nil:
-		if _, ok := m.since[partition]; !ok {
-			m.since[partition] = time.Now()
+		if _, ok := m.proposedSince[partition]; !ok {
+			m.proposedSince[partition] = time.Now()
 		}
 		m.startLocked(ctx, partition)
 	}
 }
 
+// startLocked starts an owner of a partition. Manager.mu must be held.
 func (m *Manager) startLocked(ctx context.Context, partition uint32) {
 	ctx, cancel := context.WithCancel(ctx)
 	o := NewOwner(m.cfg, partition)
-	o.mayTake = func(holder string) bool { return m.mayTake(partition, holder) }
-	m.owners[partition] = &running{owner: o, cancel: cancel}
+	o.mayTakeOver = func(holder string) bool { return m.mayTakeOver(partition, holder) }
+	m.owners[partition] = &runningOwner{owner: o, cancel: cancel}
 	go func() {
 		defer cancel()
 		err := o.Run(ctx)
 		m.mu.Lock()
 		delete(m.owners, partition)
 		m.mu.Unlock()
-		expected := errors.Is(err, errReleased) || errors.Is(err, errSuperseded) || errors.Is(err, errNotWanted) || ctx.Err() != nil
+		expected := errors.Is(err, errReleased) || errors.Is(err, errSuperseded) || errors.Is(err, errNotProposed) || ctx.Err() != nil
 		if !expected {
 			m.log.Error("partition stopped", logging.F("partition", partition), logging.F("error", err.Error()))
 		}
@@ -165,10 +171,10 @@
 	go m.onOwner(ctx, o)
 }
 
-// mayTake reports whether a partition may be taken over from its present holder.
-// A holder that is alive gets the time to hand over, so that nothing is computed
-// twice on a planned move.
-func (m *Manager) mayTake(partition uint32, holder string) bool {
+// mayTakeOver reports whether this node may take a partition over from its
+// current holder. A live holder first gets handoverTimeout to release it, so that
+// a planned move computes nothing twice.
+func (m *Manager) mayTakeOver(partition uint32, holder string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.leaving || m.proposedLocked(partition) != m.cfg.Node {
@@ -177,11 +183,12 @@
 	if holder == "" || holder == m.cfg.Node || !slices.Contains(m.alive, holder) {
 		return true
 	}
-	since, ok := m.since[partition]
-	return ok && time.Since(since) >= handOver
+	since, ok := m.proposedSince[partition]
+	return ok && time.Since(since) >= handoverTimeout
 }
 
-// Leave releases all partitions and returns when that is done, or ctx ends.
+// Leave releases all partitions and waits until their owners have stopped or ctx
+// ends.
 func (m *Manager) Leave(ctx context.Context) {
 	m.mu.Lock()
 	m.leaving = true
--- a/ledger/ops.go
+++ b/ledger/ops.go
@@ -10,7 +10,8 @@
 	"pumiceford/wire"
 )
 
-// Serve carries out one request of a caller on this partition.
+// Serve handles one caller's request on this partition. A failure is part of the
+// reply.
 func (o *Owner) Serve(ctx context.Context, req *wire.PeerRequest) *wire.PeerReply {
 	reply, err := o.serve(ctx, req)
 	if err != nil {
@@ -23,7 +24,7 @@
 	if !o.Ready() {
 		return nil, notOwner()
 	}
-	if err := o.freshen(ctx); err != nil {
+	if err := o.renewReadLease(ctx); err != nil {
 		return nil, err
 	}
 	if !o.Ready() {
@@ -52,7 +53,8 @@
 	return nil, apierr.New(apierr.CodeBadRequest, "unknown request")
 }
 
-// Ready reports whether this node owns the partition as far as it has read.
+// Ready reports whether this node owns the partition according to the records
+// read so far.
 func (o *Owner) Ready() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -67,7 +69,8 @@
 	return &wire.PeerReply{}, err
 }
 
-// fileID returns an id from the wire; one of another length names no file.
+// fileID converts an id from the wire. It returns the zero FileID, which names no
+// file, when the id has the wrong length.
 func fileID(b []byte) batch.FileID {
 	var id batch.FileID
 	if len(b) == len(id) {
@@ -76,6 +79,8 @@
 	return id
 }
 
+// jobID converts an id from the wire. It reports false when the id has the wrong
+// length.
 func jobID(b []byte) (batch.JobID, bool) {
 	var id batch.JobID
 	if len(b) != len(id) {
@@ -85,8 +90,8 @@
 	return id, true
 }
 
-// hasChunk reports whether a chunk is there already: a caller that repeats an
-// upload pays for it once. Files are named by their content.
+// hasChunk reports whether a chunk is stored already, so that a repeated upload
+// is not written again. A file's id is a digest of its content.
 func (o *Owner) hasChunk(c *wire.PutChunk) bool {
 	id := fileID(c.GetFile())
 	o.mu.Lock()
@@ -99,8 +104,8 @@
 	return ok || f.Sealed
 }
 
-// sealed reports whether a workspace has a whole file of this id. The file itself
-// changes with the fold and is only looked at under Owner.mu.
+// sealed reports whether a workspace has a complete file with this id. Applying
+// records changes the file, so it is only read under Owner.mu.
 func (o *Owner) sealed(workspace string, file []byte) bool {
 	id := fileID(file)
 	o.mu.Lock()
@@ -122,8 +127,9 @@
 	return &wire.PeerReply{}, nil
 }
 
-// commitJob accepts a job. The caller is told only what was read back: the job
-// that stands under the key, which is this one or the same one sent before.
+// commitJob accepts a job. It replies only after read-back, with the job that is
+// stored under the idempotency key: this one, or an equal one that was sent
+// before.
 func (o *Owner) commitJob(ctx context.Context, c *wire.CommitJob) (*wire.PeerReply, error) {
 	id, ok := jobID(c.GetJob())
 	if !ok {
@@ -144,7 +150,7 @@
 	if !batch.SameJob(j, c) {
 		return nil, apierr.New(apierr.CodeKeyConflict, "the idempotency key belongs to a job with another content")
 	}
-	return o.info(j), nil
+	return o.jobReply(j), nil
 }
 
 func (o *Owner) job(id batch.JobID) *batch.Job {
@@ -153,15 +159,16 @@
 	return o.part.Job(id)
 }
 
-func (o *Owner) info(j *batch.Job) *wire.PeerReply {
+// jobReply returns a reply with the job's current state.
+func (o *Owner) jobReply(j *batch.Job) *wire.PeerReply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return &wire.PeerReply{Job: j.Info(o.number)}
 }
 
-// jobOf finds a workspace's job. Another workspace's job is not found, so that
-// its existence is not told either.
-func (o *Owner) jobOf(workspace string, id []byte) (*batch.Job, error) {
+// findJob returns a workspace's job. A job of another workspace is reported as
+// not found, so that its existence is not disclosed.
+func (o *Owner) findJob(workspace string, id []byte) (*batch.Job, error) {
 	key, _ := jobID(id)
 	j := o.job(key)
 	if j == nil || j.Commit.GetWorkspace() != workspace {
@@ -171,11 +178,11 @@
 }
 
 func (o *Owner) getJob(g *wire.GetJob) (*wire.PeerReply, error) {
-	j, err := o.jobOf(g.GetWorkspace(), g.GetJob())
+	j, err := o.findJob(g.GetWorkspace(), g.GetJob())
 	if err != nil {
 		return nil, err
 	}
-	reply := o.info(j)
+	reply := o.jobReply(j)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if w := o.cancels[j.ID]; w != nil && !w.finished() {
@@ -184,7 +191,8 @@
 	return reply, nil
 }
 
-// StateCancelling is told while agents have not yet confirmed a cancel.
+// StateCancelling is the reported state of a cancelled job until all agents have
+// confirmed the cancel.
 const StateCancelling = "cancelling"
 
 func (o *Owner) listJobs(l *wire.ListJobs) (*wire.PeerReply, error) {
@@ -200,59 +208,61 @@
 	return reply, nil
 }
 
-// cancelWait tracks which agents have confirmed that nothing of a job runs or
-// will start there.
+// cancelWait tracks which agents have not yet confirmed that no item of a job
+// runs or will start there. Owner.mu guards it.
 type cancelWait struct {
-	open map[string]bool // agents that have not confirmed
-	done chan struct{}
+	unconfirmed map[string]bool // by agent name
+	done        chan struct{}   // closed when all agents have confirmed
 }
 
 func (w *cancelWait) confirm(agent string) {
-	if !w.open[agent] {
+	if !w.unconfirmed[agent] {
 		return
 	}
-	delete(w.open, agent)
-	if len(w.open) == 0 {
+	delete(w.unconfirmed, agent)
+	if len(w.unconfirmed) == 0 {
 		close(w.done)
 	}
 }
 
 func (w *cancelWait) finished() bool {
-	return len(w.open) == 0
+	return len(w.unconfirmed) == 0
 }
 
-// cancelPatience is how long a cancel waits for agents before it answers
-// "cancelling".
-const cancelPatience = 2 * time.Second
+// cancelAckTimeout is how long a cancel waits for agents before it replies with
+// StateCancelling.
+const cancelAckTimeout = 2 * time.Second
 
-// cancelJob stops a job. "cancelled" is told only when the record was read back
-// and every agent has confirmed that nothing of the job runs or will start; until
-// then the answer is "cancelling".
+// cancelJob cancels a job. It replies with the state "cancelled" only after the
+// record was read back and every agent has confirmed that no item of the job runs
+// or will start. Until then it replies with StateCancelling.
 func (o *Owner) cancelJob(ctx context.Context, c *wire.CancelJob) (*wire.PeerReply, error) {
-	j, err := o.jobOf(c.GetWorkspace(), c.GetJob())
+	j, err := o.findJob(c.GetWorkspace(), c.GetJob())
 	if err != nil {
 		return nil, err
 	}
-	if o.stateOf(j) == batch.JobRunning {
+	if o.jobState(j) == batch.JobRunning {
 		if err := o.commit(ctx, &wire.Entry{Kind: &wire.Entry_Cancel{Cancel: c}}); err != nil {
 			return nil, err
 		}
 	}
-	if o.stateOf(j) == batch.JobCancelled {
-		o.awaitStop(ctx, j.ID)
+	if o.jobState(j) == batch.JobCancelled {
+		o.awaitCancelAcks(ctx, j.ID)
 	}
 	return o.getJob(&wire.GetJob{Workspace: c.GetWorkspace(), Job: c.GetJob()})
 }
 
-func (o *Owner) stateOf(j *batch.Job) batch.JobState {
+func (o *Owner) jobState(j *batch.Job) batch.JobState {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return j.State()
 }
 
-func (o *Owner) awaitStop(ctx context.Context, id batch.JobID) {
+// awaitCancelAcks waits until all agents have confirmed the cancel of a job,
+// cancelAckTimeout has passed, or ctx ends.
+func (o *Owner) awaitCancelAcks(ctx context.Context, id batch.JobID) {
 	w := o.startCancel(id)
-	timer := time.NewTimer(cancelPatience)
+	timer := time.NewTimer(cancelAckTimeout)
 	defer timer.Stop()
 	select {
 	case <-w.done:
@@ -261,24 +271,25 @@
 	}
 }
 
-// startCancel tells every agent. Agents that are away but not given up count as
-// open: they may hold items that their lease still lets start.
+// startCancel sends the cancel of a job to every agent. It also waits for agents
+// that are disconnected but not yet lost, because they may hold items that their
+// lease still lets start.
 func (o *Owner) startCancel(id batch.JobID) *cancelWait {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if w := o.cancels[id]; w != nil {
 		return w
 	}
-	w := &cancelWait{open: make(map[string]bool), done: make(chan struct{})}
+	w := &cancelWait{unconfirmed: make(map[string]bool), done: make(chan struct{})}
 	o.cancels[id] = w
 	for agent, f := range o.feeds {
-		w.open[agent] = true
-		f.cancelled(o.jobRef(id))
+		w.unconfirmed[agent] = true
+		f.notifyCancelled(o.jobRef(id))
 	}
-	for agent := range o.lost {
-		w.open[agent] = true
+	for agent := range o.disconnectedAt {
+		w.unconfirmed[agent] = true
 	}
-	if len(w.open) == 0 {
+	if len(w.unconfirmed) == 0 {
 		close(w.done)
 	}
 	return w
@@ -288,9 +299,9 @@
 	return &wire.JobRef{Partition: o.number, Epoch: o.epoch, Job: append([]byte(nil), id[:]...)}
 }
 
-// confirmStop takes an agent's word that nothing of a job runs there. Owner.mu
-// must be held.
-func (o *Owner) confirmStop(agent string, ref *wire.JobRef) {
+// confirmCancel records that no item of a job runs or will start on an agent.
+// Owner.mu must be held.
+func (o *Owner) confirmCancel(agent string, ref *wire.JobRef) {
 	id, ok := jobID(ref.GetJob())
 	if !ok || ref.GetPartition() != o.number {
 		return
@@ -303,10 +314,10 @@
 // maxResultPage bounds the items in one page of results.
 const maxResultPage = 1000
 
-// readResults returns outcomes in the caller's order. Items without one are left
-// out, so that results are readable while the job still runs.
+// readResults returns outcomes in the order of the input file. It leaves out
+// items without an outcome, so that results can be read while the job runs.
 func (o *Owner) readResults(ctx context.Context, r *wire.ReadResults) (*wire.PeerReply, error) {
-	j, err := o.jobOf(r.GetWorkspace(), r.GetJob())
+	j, err := o.findJob(r.GetWorkspace(), r.GetJob())
 	if err != nil {
 		return nil, err
 	}
@@ -324,7 +335,7 @@
 		}
 	}
 	o.mu.Unlock()
-	outcomes, err := o.outcomes(ctx, j.ID, offsets, r.GetFrom(), to)
+	outcomes, err := o.readOutcomes(ctx, j.ID, offsets, r.GetFrom(), to)
 	if err != nil {
 		return nil, err
 	}
@@ -343,9 +354,9 @@
 	return &wire.PeerReply{Results: page}, nil
 }
 
-// outcomes reads the records that hold results. Of several outcomes of an item
-// the first one counts, as in the fold.
-func (o *Owner) outcomes(ctx context.Context, id batch.JobID, offsets []uint64, from, to uint32) (map[uint32]*wire.Outcome, error) {
+// readOutcomes reads the outcomes of the items in [from, to) from the records at
+// offsets. The first outcome of an item counts, as in the fold.
+func (o *Owner) readOutcomes(ctx context.Context, id batch.JobID, offsets []uint64, from, to uint32) (map[uint32]*wire.Outcome, error) {
 	out := make(map[uint32]*wire.Outcome)
 	seen := make(map[uint64]bool)
 	for _, off := range offsets {
@@ -353,7 +364,7 @@
 			continue
 		}
 		seen[off] = true
-		data, err := readOne(ctx, o.cfg.Log, StreamName(o.number), off)
+		data, err := readRecord(ctx, o.cfg.Log, StreamName(o.number), off)
 		if err != nil {
 			return nil, err
 		}
@@ -367,6 +378,8 @@
 	return out, nil
 }
 
+// resultLine builds one line of a result page. oc may be nil only for an item of
+// a cancelled job.
 func (o *Owner) resultLine(ctx context.Context, j *batch.Job, index uint32, state string, oc *wire.Outcome) (*wire.ResultLine, error) {
 	if oc == nil && state != "cancelled" {
 		return nil, apierr.New(apierr.CodeInternal, "result of item %d is not on the log", index)
@@ -410,34 +423,35 @@
 	return &wire.PeerReply{File: page}, nil
 }
 
-// recordKey records that a keyed non-idempotent request is about to start, or
-// tells which request started under the key before.
+// recordKey records that a non-idempotent online request with an idempotency key
+// is about to start. If a request has started under the key before, it replies
+// with that one.
 func (o *Owner) recordKey(ctx context.Context, k *wire.RecordKey) (*wire.PeerReply, error) {
 	var id batch.KeyID
 	if len(k.GetKey()) != len(id) {
 		return nil, apierr.New(apierr.CodeBadRequest, "bad key")
 	}
 	copy(id[:], k.GetKey())
-	if o.keyOf(id) == nil {
+	if o.recordedKey(id) == nil {
 		if err := o.commit(ctx, &wire.Entry{Kind: &wire.Entry_Key{Key: k}}); err != nil {
 			return nil, err
 		}
 	}
-	got := o.keyOf(id)
-	if got == nil {
+	recorded := o.recordedKey(id)
+	if recorded == nil {
 		return nil, notOwner()
 	}
-	if !bytes.Equal(got.GetDigest(), k.GetDigest()) {
+	if !bytes.Equal(recorded.GetDigest(), k.GetDigest()) {
 		return nil, apierr.New(apierr.CodeKeyConflict, "the idempotency key belongs to another request")
 	}
 	return &wire.PeerReply{Key: &wire.KeyReply{
-		Request: got.GetRequest(),
-		Agent:   got.GetAgent(),
-		First:   bytes.Equal(got.GetRequest(), k.GetRequest()),
+		Request: recorded.GetRequest(),
+		Agent:   recorded.GetAgent(),
+		First:   bytes.Equal(recorded.GetRequest(), k.GetRequest()),
 	}}, nil
 }
 
-func (o *Owner) keyOf(id batch.KeyID) *wire.RecordKey {
+func (o *Owner) recordedKey(id batch.KeyID) *wire.RecordKey {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.part.Key(id)
--- a/ledger/owner.go
+++ b/ledger/owner.go
@@ -1,6 +1,7 @@
-// Package ledger runs batch partitions on the platform's log: it takes
-// partitions over, writes their records in groups, answers callers only after
-// read-back, and feeds items to agents. The rules themselves are in package batch.
+// Package ledger runs batch partitions on the platform's log. It takes
+// partitions over, appends their records in groups, replies to callers only after
+// reading their records back, and grants items to agents. Package batch defines
+// the state of a partition and how records change it.
 package ledger
 
 import (
@@ -22,44 +23,49 @@
 	"pumiceford/wire"
 )
 
-// Config says how partitions are run.
+// Config configures a Manager and its owners.
 type Config struct {
 	Node       string
 	Log        infra.Log
 	Partitions uint32 // fixed when the streams are created
 
-	// RecordLimit is the largest record that the log takes, default 1 MiB.
+	// RecordLimit is the largest record in bytes that the log accepts, default
+	// 1 MiB.
 	RecordLimit int
 	// CommitEvery is the shortest time between two appends that callers wait
-	// for, default 20 ms. Records of callers gather meanwhile.
+	// for, default 20 ms. Entries of several callers share one append.
 	CommitEvery time.Duration
-	// ResultsEvery is how long results gather before they are appended, default
-	// 6 s: at the letter's rate of 58 items a second for each of 64 owners that
-	// is 350 items an append. Agents keep results meanwhile.
+	// ResultsEvery is how long results are buffered before they are appended,
+	// default 6 s. With 64 owners at 58 items a second each, one append holds
+	// about 350 items. Agents keep results until they are durable.
 	ResultsEvery time.Duration
-	// FinishEvery is the same once a job's last outcome is there, default 100 ms.
+	// FinishEvery replaces ResultsEvery when the buffered results complete a
+	// job, default 100 ms.
 	FinishEvery time.Duration
-	// ResultsBytes is how many bytes of results are appended without waiting, default 256 KiB.
+	// ResultsBytes is the size of the buffered results in bytes at which they
+	// are appended at once, default 256 KiB.
 	ResultsBytes int
-	// MaxBuffered bounds the results that are not durable yet. Above it
-	// dispatch stops. Default 32 MiB.
+	// MaxBuffered is the size in bytes of results that are not durable yet at
+	// which dispatch stops, default 32 MiB.
 	MaxBuffered int
-	// Grace is how long a new owner listens for what agents hold before it
-	// dispatches, default 1 s.
+	// Grace is how long a new owner waits for agents to report what they hold
+	// before it grants items, default 1 s.
 	Grace time.Duration
-	// AgentLostAfter is how long a silent agent keeps its items, default 5 s.
+	// AgentLostAfter is how long a disconnected agent keeps its items, default
+	// 5 s.
 	AgentLostAfter time.Duration
-	// InDoubtAfter is how long a new owner waits for word of started
-	// non-idempotent items, default 10 s.
+	// InDoubtAfter is how long a new owner waits for agents to report started
+	// non-idempotent items before it records them as failed, default 10 s.
 	InDoubtAfter time.Duration
-	// SnapshotEvery is how many records a snapshot may lie behind, default 2000.
+	// SnapshotEvery is the number of records after which a new snapshot is
+	// written, default 2000.
 	SnapshotEvery uint64
-	// Retention is how long the log keeps records, default 24 h. What is needed
-	// is repeated when it is half as old.
+	// Retention is how long the log keeps records, default 24 h. Records that
+	// are still needed are appended again when they are half as old.
 	Retention time.Duration
 	Limits    batch.Limits
 
-	// Share returns a workspace's weight.
+	// Share returns a workspace's weight. All weights are 1 if it is nil.
 	Share   func(workspace string) float64
 	Logger  logging.Logger
 	Metrics *metrics.Set
@@ -104,101 +110,105 @@
 	return c
 }
 
-// StreamName is the log stream of a partition.
+// StreamName returns the name of a partition's log stream.
 func StreamName(partition uint32) string {
 	return "batch/" + strconv.Itoa(int(partition))
 }
 
 // Owner runs one partition while this node owns it.
 //
-// Lock order: Owner.mu, then feed.mu. The journal stream belongs to the writer
-// goroutine alone, which takes Owner.mu while it applies a record.
+// Lock order: Owner.mu, then feed.mu. Only the goroutine of Run reads and writes
+// the log stream. It takes Owner.mu while it applies a record.
 type Owner struct {
 	cfg    Config
 	inc    oplog.Incarnation // of this run
 	number uint32
 	stream *oplog.Stream
 	log    logging.Logger
-	// mayTake says whether the partition may be taken from its present holder.
-	mayTake func(holder string) bool
+	// mayTakeOver reports whether the partition may be taken over from its
+	// current holder. If it is nil, it always may.
+	mayTakeOver func(holder string) bool
 
-	mu         sync.Mutex
-	part       *batch.Partition
-	disp       *batch.Dispatcher
-	feeds      map[string]*feed // by agent name
-	lost       map[string]time.Time
-	cancels    map[batch.JobID]*cancelWait
-	results    map[batch.JobID][]*wire.Outcome
-	resultRefs map[batch.JobID][]ackRef
-	unsettled  map[batch.ItemKey]string // items whose outcome is not durable yet -> agent that holds it
-	// incarnations are the agents' last known ones, to notice a restart.
-	incarnations map[string]string
-	snapAsked    []chan error
-	doubtDone    bool // started items of an earlier owner were settled
-	buffered     int  // bytes of results that are not durable
-	resultsAt    time.Time
-	waiting      []*write
-	epoch        uint64 // epoch of our takeover, 0 before it
-	tookOver     time.Time
-	draining     bool
-	closed       bool
-	snapAt       uint64
-	snapTime     time.Time
-	followed     time.Time // when the stream was last read to its tail
-	followTried  time.Time
-	askedFresh   bool      // a caller waits for the stream to be read
-	answersFrom  time.Time // end of the lease of the owner before
+	mu              sync.Mutex
+	part            *batch.Partition
+	disp            *batch.Dispatcher
+	feeds           map[string]*feed     // by agent name
+	disconnectedAt  map[string]time.Time // by agent name, until the agent is lost
+	cancels         map[batch.JobID]*cancelWait
+	results         map[batch.JobID][]*wire.Outcome // not appended yet
+	resultAcks      map[batch.JobID][]resultAck     // parallel to results
+	pendingOutcomes map[batch.ItemKey]string        // item whose outcome is not durable yet -> agent that holds it
+	// incarnations holds the last known incarnation of each agent, to detect a
+	// restart.
+	incarnations     map[string]string
+	snapshotRequests []chan error
+	inDoubtResolved  bool      // failInDoubt has run
+	bufferedBytes    int       // size of results that are not durable
+	resultsSince     time.Time // first result buffered or results last collected
+	queuedWrites     []*pendingWrite
+	epoch            uint64 // epoch of this owner's takeover, 0 before it
+	takenOverAt      time.Time
+	draining         bool
+	closed           bool
+	snapshotOffset   uint64 // stream offset at the takeover or the last snapshot
+	snapshotTime     time.Time
+	caughtUpAt       time.Time // start of the last successful read to the tail
+	followedAt       time.Time // last attempt to read to the tail
+	catchupRequested bool      // a caller waits for the stream to be read
+	readsAllowedAt   time.Time // end of the previous owner's read lease
 
 	chunks *chunkCache
-	signal chan struct{}
+	wakeup chan struct{}
 	done   chan struct{}
 }
 
-// NewOwner returns an Owner for a partition. Run takes the partition over.
+// NewOwner returns an Owner for a partition. It owns nothing until Run has taken
+// the partition over.
 func NewOwner(cfg Config, number uint32) *Owner {
 	cfg = cfg.withDefaults()
-	// Each run has an incarnation of its own. A second run in the same process
-	// numbers its records from 1 again; under the first run's incarnation every
-	// reader would drop them as copies, its takeover included.
+	// Each Owner has an incarnation of its own. It numbers its records from 1, so
+	// with the incarnation of an earlier Owner in the same process readers would
+	// drop them, the takeover included, as duplicates.
 	return &Owner{
-		cfg:          cfg,
-		inc:          oplog.NewIncarnation(),
-		number:       number,
-		log:          cfg.Logger.Part("ledger"),
-		feeds:        make(map[string]*feed),
-		lost:         make(map[string]time.Time),
-		cancels:      make(map[batch.JobID]*cancelWait),
-		results:      make(map[batch.JobID][]*wire.Outcome),
-		resultRefs:   make(map[batch.JobID][]ackRef),
-		unsettled:    make(map[batch.ItemKey]string),
-		incarnations: make(map[string]string),
-		chunks:       newChunkCache(cfg.Log, StreamName(number)),
-		signal:       make(chan struct{}, 1),
-		done:         make(chan struct{}),
+		cfg:             cfg,
+		inc:             oplog.NewIncarnation(),
+		number:          number,
+		log:             cfg.Logger.Part("ledger"),
+		feeds:           make(map[string]*feed),
+		disconnectedAt:  make(map[string]time.Time),
+		cancels:         make(map[batch.JobID]*cancelWait),
+		results:         make(map[batch.JobID][]*wire.Outcome),
+		resultAcks:      make(map[batch.JobID][]resultAck),
+		pendingOutcomes: make(map[batch.ItemKey]string),
+		incarnations:    make(map[string]string),
+		chunks:          newChunkCache(cfg.Log, StreamName(number)),
+		wakeup:          make(chan struct{}, 1),
+		done:            make(chan struct{}),
 	}
 }
 
-// Failures of an Owner.
+// Errors with which Run returns.
 var (
-	errSuperseded = errors.New("partition taken over by another owner")
-	errReleased   = errors.New("partition released")
-	errNotWanted  = errors.New("partition is proposed to another node")
+	errSuperseded  = errors.New("partition taken over by another owner")
+	errReleased    = errors.New("partition released")
+	errNotProposed = errors.New("partition is proposed to another node")
 )
 
-// notOwner is what callers get while this node does not own the partition.
+// notOwner returns the error for callers while this node does not own the
+// partition.
 func notOwner() *apierr.Error {
 	return apierr.New(apierr.CodeNotOwner, "partition is changing hands").After(time.Second)
 }
 
-// Run recovers the partition, takes it over and runs it until ctx ends, Release
-// is called, or another owner takes it over.
+// Run recovers the partition, takes it over and runs it until ctx ends, a release
+// is complete, or another owner takes it over.
 func (o *Owner) Run(ctx context.Context) error {
 	defer close(o.done)
-	defer o.shut()
+	defer o.shutDown()
 	if err := o.recover(ctx); err != nil {
 		return err
 	}
-	if err := o.awaitTurn(ctx); err != nil {
+	if err := o.awaitHandover(ctx); err != nil {
 		return err
 	}
 	if err := o.takeOver(ctx); err != nil {
@@ -206,24 +216,25 @@
 	}
 	o.log.Info("partition taken over", logging.F("partition", o.number), logging.F("epoch", o.epoch))
 	for {
-		err := o.turn(ctx)
+		err := o.runOnce(ctx)
 		if err != nil {
 			return err
 		}
 	}
 }
 
-// Done is closed when Run has returned.
+// Done returns a channel that is closed when Run returns.
 func (o *Owner) Done() <-chan struct{} {
 	return o.done
 }
 
-// shut fails everything that still waits. What was appended may count or not;
-// callers ask the next owner.
-func (o *Owner) shut() {
+// shutDown fails all queued writes and closes all feeds. Queued writes were not
+// appended, so callers can repeat them at the next owner. For a write that was
+// being appended, completeGroup reports an unknown outcome.
+func (o *Owner) shutDown() {
 	o.mu.Lock()
-	waiting := o.waiting
-	o.waiting = nil
+	waiting := o.queuedWrites
+	o.queuedWrites = nil
 	o.closed = true
 	feeds := o.feeds
 	o.feeds = make(map[string]*feed)
@@ -255,20 +266,21 @@
 	}
 }
 
-// idleTurn is how long the writer waits when nothing wakes it. Retries that
-// fall due, lost agents and snapshots are looked at then.
-const idleTurn = 100 * time.Millisecond
+// idleInterval is how often the writer runs when nothing wakes it. It then
+// handles due retries, lost agents and snapshots.
+const idleInterval = 100 * time.Millisecond
 
-// turn waits for something to do and does one round of the writer.
-func (o *Owner) turn(ctx context.Context) error {
-	timer := time.NewTimer(idleTurn)
+// runOnce waits for a wake-up or idleInterval and then runs one round of the
+// writer.
+func (o *Owner) runOnce(ctx context.Context) error {
+	timer := time.NewTimer(idleInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-timer.C:
-	case <-o.signal:
-		// Records of other callers gather meanwhile.
+	case <-o.wakeup:
+		// Wait for entries of other callers, which then share the append.
 		_ = wait.For(ctx, o.cfg.CommitEvery)
 	}
 	o.expireAgents(time.Now())
@@ -279,18 +291,18 @@
 		return err
 	}
 	o.wakeFeeds()
-	return o.follow(ctx)
+	return o.followStream(ctx)
 }
 
-// wake makes the writer take a turn.
+// wake makes the writer run its next round.
 func (o *Owner) wake() {
 	select {
-	case o.signal <- struct{}{}:
+	case o.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// wakeFeeds lets agents that asked have what has come up.
+// wakeFeeds wakes the feeds of agents that want items, if items are waiting.
 func (o *Owner) wakeFeeds() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/ledger/owner_test.go
+++ b/ledger/owner_test.go
@@ -15,8 +15,8 @@
 	"pumiceford/wire"
 )
 
-// fakeAgent answers every grant at once. It does not return custom ids, as an
-// agent that lost them would not.
+// fakeAgent completes every grant immediately. Its results have no custom_id, so
+// that the owner has to add it.
 type fakeAgent struct {
 	up       chan *wire.FeedUp
 	done     chan struct{}
@@ -57,12 +57,11 @@
 
 func (a *fakeAgent) Close() { a.once.Do(func() { close(a.done) }) }
 
-// Symptom: a job stands still a few items before its end, although every item
-// was run. Sequence: results fill a record to its limit, the owner adds the
-// caller's ids to them just before the append, and the log refuses the record as
-// too large. Cause: the size was counted before the ids were added, and refused
-// outcomes were dropped.
-func TestResultsFillRecords(t *testing.T) {
+// Guards against a job that never completes although all its items have run. This
+// happens when the size of a full results record is counted before the owner adds
+// the custom_ids: the log rejects the record as too large, and the owner drops
+// its outcomes.
+func TestResultsAtRecordLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -97,11 +96,11 @@
 		time.Sleep(time.Minute)
 		info := o.Serve(ctx, &wire.PeerRequest{Kind: &wire.PeerRequest_GetJob{GetJob: &wire.GetJob{Workspace: "w", Job: job}}}).GetJob()
 		if info.GetSucceeded() != items {
-			t.Fatalf("%d of %d items completed, state %s", info.GetSucceeded(), items, info.GetState())
+			t.Fatalf("%d of %d items succeeded, job state %s", info.GetSucceeded(), items, info.GetState())
 		}
 		page := o.Serve(ctx, &wire.PeerRequest{Kind: &wire.PeerRequest_ReadResults{ReadResults: &wire.ReadResults{Workspace: "w", Job: job, From: 1500, Limit: 10}}}).GetResults()
 		if len(page.GetLines()) != 10 || page.GetLines()[3].GetCustomId() != "item-1503" {
-			t.Fatalf("page %v", page)
+			t.Fatalf("got page %v, want 10 lines with custom_id item-1503 in the fourth", page)
 		}
 	})
 }
--- a/ledger/recover.go
+++ b/ledger/recover.go
@@ -14,7 +14,9 @@
 	"pumiceford/wire"
 )
 
-// recover builds the state from the newest snapshot and the records behind it.
+// recover builds the state from the newest snapshot and the records after it. It
+// retries while the log does not answer, or when the log trims records during the
+// read.
 func (o *Owner) recover(ctx context.Context) error {
 	for {
 		err := o.tryRecover(ctx)
@@ -28,11 +30,11 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		_ = wait.For(ctx, retryPause)
+		_ = wait.For(ctx, recoverRetryInterval)
 	}
 }
 
-const retryPause = 100 * time.Millisecond
+const recoverRetryInterval = 100 * time.Millisecond
 
 func (o *Owner) tryRecover(ctx context.Context) error {
 	part, err := LoadPartition(ctx, o.cfg.Log, o.number, o.cfg.SnapshotEvery)
@@ -46,8 +48,10 @@
 	return o.stream.Catchup(ctx)
 }
 
-// LoadPartition finds the newest snapshot of a partition and returns its state.
-// The caller applies the records from Next on.
+// LoadPartition returns the state of a partition from its newest snapshot, or an
+// empty one if the log has all records of the partition. The caller applies the
+// records from Next on. It fails with MissingSnapshotError when records were
+// trimmed and no snapshot replaces them.
 func LoadPartition(ctx context.Context, log infra.Log, number uint32, snapshotEvery uint64) (*batch.Partition, error) {
 	name := StreamName(number)
 	page, err := log.Read(ctx, name, 0, 1, 0)
@@ -57,8 +61,9 @@
 	} else if err != nil {
 		return nil, err
 	}
-	// A snapshot lies at most snapshotEvery records and its own parts behind the
-	// tail. Look there first and at everything that is kept only after that.
+	// The newest snapshot is normally at most snapshotEvery records and its own
+	// parts behind the tail. Search there first, and all kept records only if
+	// none is found.
 	window := 2*snapshotEvery + 1
 	from := page.Earliest
 	if page.Tail > window {
@@ -80,8 +85,8 @@
 	return batch.NewPartition(number), nil
 }
 
-// MissingSnapshotError says that the log trimmed records of a partition and no
-// snapshot covers them. An operator must look at it; nothing is made up.
+// MissingSnapshotError reports that the log trimmed records of a partition that
+// no snapshot covers. The partition cannot be recovered without an operator.
 type MissingSnapshotError struct {
 	Partition uint32
 	Earliest  uint64
@@ -89,11 +94,13 @@
 
 // Error implements error.
 func (e *MissingSnapshotError) Error() string {
-	return "partition " + strconv.Itoa(int(e.Partition)) + " is trimmed and has no snapshot"
+	return "partition " + strconv.Itoa(int(e.Partition)) + ": records were trimmed and no snapshot covers them"
 }
 
 const recoverReadBytes = 4 << 20
 
+// findSnapshot restores the partition from the newest snapshot in [from, tail).
+// It returns nil when there is none.
 func findSnapshot(ctx context.Context, log infra.Log, number uint32, from, tail uint64) (*batch.Partition, error) {
 	finder := batch.NewFinder()
 	for from < tail {
@@ -116,40 +123,44 @@
 	return batch.Restore(number, data)
 }
 
-// turnPatience bounds the wait for a present owner to hand over.
-const turnPatience = 2 * handOver
+// awaitHandoverTimeout bounds the wait for the current owner to release the
+// partition.
+const awaitHandoverTimeout = 2 * handoverTimeout
 
-// awaitTurn waits until the partition may be taken from its present owner.
-func (o *Owner) awaitTurn(ctx context.Context) error {
-	until := time.Now().Add(turnPatience)
+// awaitHandover waits until the partition may be taken over from its current
+// owner. It returns errNotProposed when that does not happen.
+func (o *Owner) awaitHandover(ctx context.Context) error {
+	until := time.Now().Add(awaitHandoverTimeout)
 	for {
 		o.mu.Lock()
 		holder := o.part.Owner()
-		drop := o.draining
+		draining := o.draining
 		o.mu.Unlock()
-		if o.mayTake == nil || o.mayTake(holder) {
+		if o.mayTakeOver == nil || o.mayTakeOver(holder) {
 			return nil
 		}
-		if drop || ctx.Err() != nil || time.Now().After(until) {
-			return errNotWanted
+		if draining || ctx.Err() != nil || time.Now().After(until) {
+			return errNotProposed
 		}
-		_ = wait.For(ctx, retryPause)
-		// While the log is away there is nothing new to learn from it.
+		_ = wait.For(ctx, recoverRetryInterval)
+		// Errors are ignored: while the log does not answer, the last known
+		// holder stands, and the next round reads again.
 		_ = o.stream.Catchup(ctx)
 	}
 }
 
-// takeOver appends the claim and sees whether it won.
+// takeOver appends a takeover record and checks that no other owner has taken the
+// partition over first. It then rebuilds the dispatcher.
 func (o *Owner) takeOver(ctx context.Context) error {
 	o.mu.Lock()
 	epoch := o.part.Epoch() + 1
-	before := o.part.Owner()
+	previous := o.part.Owner()
 	o.mu.Unlock()
-	claim := &wire.Entry{Kind: &wire.Entry_Takeover{Takeover: &wire.Takeover{
+	takeover := &wire.Entry{Kind: &wire.Entry_Takeover{Takeover: &wire.Takeover{
 		Owner:       o.cfg.Node,
 		Incarnation: o.inc[:],
 	}}}
-	if _, err := o.stream.Write(ctx, epoch, []*wire.Entry{claim}); err != nil {
+	if _, err := o.stream.Write(ctx, epoch, []*wire.Entry{takeover}); err != nil {
 		return err
 	}
 	o.mu.Lock()
@@ -158,16 +169,16 @@
 		return errSuperseded
 	}
 	o.epoch = epoch
-	o.tookOver = time.Now()
-	o.followed = o.tookOver
-	if before != "" {
-		o.answersFrom = o.tookOver.Add(freshFor)
+	o.takenOverAt = time.Now()
+	o.caughtUpAt = o.takenOverAt
+	if previous != "" {
+		o.readsAllowedAt = o.takenOverAt.Add(readLeaseDuration)
 	}
-	o.snapAt = o.part.Next()
-	// The first turn writes a snapshot and repeats old records. Nobody did so
-	// since the last owner was lost, and records near their end cannot wait for
-	// another interval.
-	o.snapTime = time.Time{}
+	o.snapshotOffset = o.part.Next()
+	// Makes the first round of the writer write a snapshot and carry forward old
+	// records. No one has done so since the previous owner stopped, and records
+	// near the end of the retention cannot wait for another interval.
+	o.snapshotTime = time.Time{}
 	o.disp = batch.NewDispatcher(o.cfg.Limits)
 	o.part.Jobs(func(j *batch.Job) bool {
 		if j.State() == batch.JobRunning {
