--- a/oplog/oplog.go
+++ b/oplog/oplog.go
@@ -1,11 +1,11 @@
 // Package oplog writes and reads enveloped records on the platform's log so
-// that each takes effect exactly once, although answers of the log get lost,
-// appends are repeated and late copies arrive.
+// that each record takes effect exactly once, even if replies of the log are
+// lost, appends are retried and delayed duplicates appear.
 //
-// Every writer process has a random incarnation and numbers its records in each
-// stream from 1. It keeps one append outstanding. A reader drops every record
-// whose number is not above the highest seen of that incarnation, so a second
-// copy of a record is harmless wherever it lands.
+// Every writer has a random incarnation and numbers its records in each stream
+// from 1. It has at most one append in flight. A reader drops every record whose
+// number is not above the highest one seen from that incarnation, so a duplicate
+// has no effect at any offset.
 package oplog
 
 import (
@@ -16,7 +16,7 @@
 	"pumiceford/wire"
 )
 
-// Incarnation names one run of one process.
+// Incarnation identifies one run of a process, or of one writer in it.
 type Incarnation [16]byte
 
 // NewIncarnation returns a random Incarnation.
@@ -38,75 +38,77 @@
 	return inc, true
 }
 
-// writerMark is the last record seen of one incarnation.
-type writerMark struct {
+// writerState locates the last record seen from one incarnation.
+type writerState struct {
 	seq    uint64
 	offset uint64
 }
 
-// Dedupe remembers the highest sequence of each incarnation in one stream.
-// It is part of the fold: two readers of the same records agree.
+// Dedupe keeps the highest sequence number of each incarnation in one stream. It
+// is part of the fold: all readers of the same records have the same state.
 type Dedupe struct {
-	marks map[Incarnation]writerMark
+	writers map[Incarnation]writerState
 }
 
 // NewDedupe returns an empty Dedupe.
 func NewDedupe() *Dedupe {
-	return &Dedupe{marks: make(map[Incarnation]writerMark)}
+	return &Dedupe{writers: make(map[Incarnation]writerState)}
 }
 
-// maxWriters bounds the incarnations remembered in one stream. Beyond it the
-// one seen longest ago is forgotten: its late copies would count again, but an
-// incarnation that many restarts old has no append outstanding any more.
+// maxWriters bounds the incarnations kept for one stream. Above it the one with
+// the oldest last record is evicted. Its delayed duplicates would then take
+// effect again, but an incarnation that is so many restarts old has no append in
+// flight any more.
 const maxWriters = 4096
 
-// Fresh reports whether the record is the first copy of its kind, and remembers it.
+// Fresh reports whether a record is not a duplicate, and if so stores its
+// sequence number.
 func (d *Dedupe) Fresh(inc Incarnation, seq, offset uint64) bool {
-	if mark, ok := d.marks[inc]; ok && seq <= mark.seq {
+	if last, ok := d.writers[inc]; ok && seq <= last.seq {
 		return false
 	}
-	d.marks[inc] = writerMark{seq: seq, offset: offset}
-	if len(d.marks) > maxWriters {
-		d.forgetOldest()
+	d.writers[inc] = writerState{seq: seq, offset: offset}
+	if len(d.writers) > maxWriters {
+		d.evictOldest()
 	}
 	return true
 }
 
-func (d *Dedupe) forgetOldest() {
+func (d *Dedupe) evictOldest() {
 	var oldest Incarnation
 	first := true
-	for inc, mark := range d.marks {
-		if first || mark.offset < d.marks[oldest].offset {
+	for inc, last := range d.writers {
+		if first || last.offset < d.writers[oldest].offset {
 			oldest = inc
 			first = false
 		}
 	}
-	delete(d.marks, oldest)
+	delete(d.writers, oldest)
 }
 
 // Snapshot returns the state for a partition snapshot.
 func (d *Dedupe) Snapshot() []*wire.WriterState {
-	out := make([]*wire.WriterState, 0, len(d.marks))
-	for inc, mark := range d.marks {
-		out = append(out, &wire.WriterState{Incarnation: inc[:], Seq: mark.seq, Offset: mark.offset})
+	out := make([]*wire.WriterState, 0, len(d.writers))
+	for inc, last := range d.writers {
+		out = append(out, &wire.WriterState{Incarnation: inc[:], Seq: last.seq, Offset: last.offset})
 	}
 	return out
 }
 
-// Restore replaces the state by a snapshot's.
+// Restore replaces the state by that of a snapshot.
 func (d *Dedupe) Restore(states []*wire.WriterState) {
-	d.marks = make(map[Incarnation]writerMark, len(states))
+	d.writers = make(map[Incarnation]writerState, len(states))
 	for _, s := range states {
 		inc, ok := IncarnationFrom(s.GetIncarnation())
 		if !ok {
 			continue
 		}
-		d.marks[inc] = writerMark{seq: s.GetSeq(), offset: s.GetOffset()}
+		d.writers[inc] = writerState{seq: s.GetSeq(), offset: s.GetOffset()}
 	}
 }
 
-// Decode parses an envelope. It reports false for a record that is not ours or
-// is damaged; readers skip those.
+// Decode parses an envelope. It reports false for a record that is damaged or was
+// not written by this package; readers skip such records.
 func Decode(data []byte) (*wire.Envelope, Incarnation, bool) {
 	env := &wire.Envelope{}
 	if err := proto.Unmarshal(data, env); err != nil {
--- a/oplog/writer.go
+++ b/oplog/writer.go
@@ -13,12 +13,12 @@
 	"pumiceford/wire"
 )
 
-// Apply receives every record of a stream in offset order, copies included.
-// The receiver keeps its own Dedupe.
+// Apply receives every record of a stream in offset order, duplicates included.
+// The receiver has its own Dedupe.
 type Apply func(rec infra.Record)
 
-// Stream follows one log stream and appends to it. It is used by one goroutine
-// at a time.
+// Stream reads one log stream and appends to it. Only one goroutine at a time may
+// use it, except for Failing.
 type Stream struct {
 	log   infra.Log
 	name  string
@@ -27,26 +27,29 @@
 	next  uint64
 	apply Apply
 
-	pending   uint64 // own sequence being written, 0 when none
-	landed    bool   // pending was read back
-	landedOff uint64 // offset of the first copy of pending
+	pendingSeq      uint64 // sequence number being written, 0 if none
+	confirmed       bool   // pendingSeq was read back
+	confirmedOffset uint64 // offset at which pendingSeq was first read back
 
-	failing atomic.Bool
+	unavailable atomic.Bool
 
-	// RetryPause is the wait between tries while the log does not answer.
+	// RetryPause is the wait between attempts while the log does not answer,
+	// default 100 ms.
 	RetryPause time.Duration
-	// CallTimeout bounds one call to the log.
+	// CallTimeout bounds one call to the log, default 3 s. A read that waits for
+	// records gets the wait in addition.
 	CallTimeout time.Duration
 }
 
 // Defaults of Stream.
 const (
-	defaultRetryPause  = 100 * time.Millisecond
-	defaultCallTimeout = 3 * time.Second
-	readBytes          = 4 << 20
+	defaultRetryInterval = 100 * time.Millisecond
+	defaultCallTimeout   = 3 * time.Second
+	maxReadBytes         = 4 << 20
 )
 
-// NewStream returns a Stream that reads from offset next on.
+// NewStream returns a Stream that writes as inc and calls apply for each record
+// from offset next on.
 func NewStream(log infra.Log, name string, inc Incarnation, next uint64, apply Apply) *Stream {
 	return &Stream{
 		log:         log,
@@ -54,65 +57,68 @@
 		inc:         inc,
 		next:        next,
 		apply:       apply,
-		RetryPause:  defaultRetryPause,
+		RetryPause:  defaultRetryInterval,
 		CallTimeout: defaultCallTimeout,
 	}
 }
 
-// Next returns the offset that will be read next.
+// Next returns the offset of the next record to read.
 func (s *Stream) Next() uint64 {
 	return s.next
 }
 
-// Skip moves the reader to offset, after a snapshot was installed.
+// Skip sets the offset of the next record to read, for use after a snapshot was
+// restored.
 func (s *Stream) Skip(offset uint64) {
 	s.next = offset
 }
 
-// Failing reports whether the last call to the log got no answer. It may be
-// called from any goroutine.
+// Failing reports whether the last call to the log got no answer. Any goroutine
+// may call it.
 func (s *Stream) Failing() bool {
-	return s.failing.Load()
+	return s.unavailable.Load()
 }
 
-func (s *Stream) note(err error) {
-	s.failing.Store(err != nil && !isRefusal(err))
+// recordResult sets what Failing reports from the result of a call.
+func (s *Stream) recordResult(err error) {
+	s.unavailable.Store(err != nil && !isRejection(err))
 }
 
-// unanswered turns the end of one call's own time into ErrUnavailable. A process
-// that was paused sees it although the log is well; taking it for a fault of the
-// stream would stop a partition for good.
-func unanswered(ctx context.Context, err error) error {
+// markUnavailable marks a timeout of a single call as ErrUnavailable, so that
+// callers retry. A paused process gets such a timeout although the log works, and
+// treating it as a failure of the stream would stop the partition.
+func markUnavailable(ctx context.Context, err error) error {
 	if err != nil && ctx.Err() == nil && errors.Is(err, context.DeadlineExceeded) {
 		return errors.Mark(err, infra.ErrUnavailable)
 	}
 	return err
 }
 
-// isRefusal reports whether the log answered, although with a refusal.
-func isRefusal(err error) bool {
+// isRejection reports whether err is an answer of the log that rejects the call.
+func isRejection(err error) bool {
 	var throttled *infra.ThrottledError
 	var trimmed *infra.TrimmedError
 	return errors.Is(err, infra.ErrTooLarge) || errors.As(err, &throttled) || errors.As(err, &trimmed)
 }
 
-// Poll reads once and applies what it got. It returns the tail that the log told.
+// Poll reads one page and applies its records. It waits up to wait for the first
+// record. It returns the tail offset reported by the log.
 func (s *Stream) Poll(ctx context.Context, wait time.Duration) (uint64, error) {
-	short, cancel := context.WithTimeout(ctx, s.CallTimeout+wait)
+	callCtx, cancel := context.WithTimeout(ctx, s.CallTimeout+wait)
 	defer cancel()
-	page, err := s.log.Read(short, s.name, s.next, readBytes, wait)
-	err = unanswered(ctx, err)
-	s.note(err)
+	page, err := s.log.Read(callCtx, s.name, s.next, maxReadBytes, wait)
+	err = markUnavailable(ctx, err)
+	s.recordResult(err)
 	if err != nil {
 		return 0, err
 	}
 	for _, rec := range page.Records {
-		s.take(rec)
+		s.applyRecord(rec)
 	}
 	return page.Tail, nil
 }
 
-// Catchup reads until the reader is at the tail that the log told last.
+// Catchup reads and applies records up to the tail.
 func (s *Stream) Catchup(ctx context.Context) error {
 	for {
 		tail, err := s.Poll(ctx, 0)
@@ -125,30 +131,34 @@
 	}
 }
 
-func (s *Stream) take(rec infra.Record) {
+// applyRecord passes a record to apply, unless it was read before. It confirms
+// the pending write when it reads back its record.
+func (s *Stream) applyRecord(rec infra.Record) {
 	if rec.Offset < s.next {
 		return
 	}
 	s.next = rec.Offset + 1
 	if env, inc, ok := Decode(rec.Data); ok && inc == s.inc {
-		s.noteOwn(env.GetSeq(), rec.Offset)
+		s.confirmOwn(env.GetSeq(), rec.Offset)
 	}
 	s.apply(rec)
 }
 
-func (s *Stream) noteOwn(seq, offset uint64) {
-	if seq != s.pending || s.landed {
+// confirmOwn confirms the pending write if seq is its first copy.
+func (s *Stream) confirmOwn(seq, offset uint64) {
+	if seq != s.pendingSeq || s.confirmed {
 		return
 	}
-	s.landed = true
-	s.landedOff = offset
+	s.confirmed = true
+	s.confirmedOffset = offset
 }
 
-// Write appends entries as one record and returns once the record was read back
-// and applied. It repeats the append under the same sequence while the log's
-// answer is lost, so the record takes effect once. It ends early only when ctx
-// ends or the record is refused as too large; after ctx ended the record may
-// still take effect later, and the sequence is not used again.
+// Write appends entries as one record and returns its offset once the record is
+// read back and applied. While the log does not answer, it retries with the same
+// sequence number, so the record takes effect once. It fails only when ctx ends,
+// the entries cannot be encoded, or the log rejects the record as too large. After
+// ctx has ended the record may still take effect later, so its sequence number is
+// not used again.
 func (s *Stream) Write(ctx context.Context, epoch uint64, entries []*wire.Entry) (uint64, error) {
 	s.seq++
 	seq := s.seq
@@ -157,9 +167,9 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "encode envelope")
 	}
-	s.pending = seq
-	s.landed = false
-	defer func() { s.pending = 0 }()
+	s.pendingSeq = seq
+	s.confirmed = false
+	defer func() { s.pendingSeq = 0 }()
 	for {
 		err := s.appendOnce(ctx, data)
 		if errors.Is(err, infra.ErrTooLarge) {
@@ -168,29 +178,30 @@
 		if off, ok := s.readBack(ctx, err == nil); ok {
 			return off, nil
 		}
-		if err := s.pause(ctx, err); err != nil {
+		if err := s.waitRetry(ctx, err); err != nil {
 			return 0, err
 		}
 	}
 }
 
 func (s *Stream) appendOnce(ctx context.Context, data []byte) error {
-	short, cancel := context.WithTimeout(ctx, s.CallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, s.CallTimeout)
 	defer cancel()
-	_, err := s.log.Append(short, s.name, data)
-	err = unanswered(ctx, err)
-	s.note(err)
+	_, err := s.log.Append(callCtx, s.name, data)
+	err = markUnavailable(ctx, err)
+	s.recordResult(err)
 	return err
 }
 
-// readBack reads up to the tail and reports the offset of the first copy of our
-// record. When the append was acknowledged it keeps reading until the record
-// shows, because appending again could then only make a useless copy.
+// readBack reads up to the tail and returns the offset of the pending record. It
+// reports false when the record was not found. If the append was acknowledged, it
+// reads until the record appears, because another append would only add a
+// duplicate.
 func (s *Stream) readBack(ctx context.Context, acked bool) (uint64, bool) {
 	for {
 		err := s.Catchup(ctx)
-		if s.landed {
-			return s.landedOff, true
+		if s.confirmed {
+			return s.confirmedOffset, true
 		}
 		var trimmed *infra.TrimmedError
 		if errors.As(err, &trimmed) || ctx.Err() != nil {
@@ -199,13 +210,15 @@
 		if !acked {
 			return 0, false
 		}
-		if s.pause(ctx, nil) != nil {
+		if s.waitRetry(ctx, nil) != nil {
 			return 0, false
 		}
 	}
 }
 
-func (s *Stream) pause(ctx context.Context, cause error) error {
+// waitRetry waits before the next attempt: for the time that a throttling log
+// asked for, or else for RetryPause.
+func (s *Stream) waitRetry(ctx context.Context, cause error) error {
 	d := s.RetryPause
 	var throttled *infra.ThrottledError
 	if errors.As(cause, &throttled) && throttled.RetryAfter > 0 {
