--- a/batch/dispatcher.go
+++ b/batch/dispatcher.go
@@ -7,78 +7,81 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// ItemKey names an item in its partition.
+// ItemKey identifies an item in its partition.
 type ItemKey struct {
 	Job   JobID
 	Index uint32
 }
 
-// Limits bounds what one item may cost before it ends as failed.
+// Limits bounds the attempts to run one item. An item that reaches MaxAttempts or
+// MaxTargetLoss is recorded as failed.
 type Limits struct {
 	MaxAttempts   uint32        // executions that ended in a retryable failure, default 4
-	MaxTargetLoss uint32        // targets lost while the item was granted alone, default 2
-	BackoffBase   time.Duration // first pause before a retry, default 200 ms
-	BackoffMax    time.Duration // longest pause, default 10 s
+	MaxTargetLoss uint32        // targets lost while the item ran alone, default 2
+	BackoffBase   time.Duration // base of the exponential back-off, default 200 ms
+	BackoffMax    time.Duration // longest back-off, default 10 s
 }
 
-// DefaultLimits returns the limits used when settings give none.
+// DefaultLimits returns the default limits.
 func DefaultLimits() Limits {
 	return Limits{MaxAttempts: 4, MaxTargetLoss: 2, BackoffBase: 200 * time.Millisecond, BackoffMax: 10 * time.Second}
 }
 
-// flight is one item granted to an agent.
-type flight struct {
+// activeGrant is the grant of one item to an agent.
+type activeGrant struct {
 	agent   string
-	alone   bool // the agent runs no other batch item beside it
-	started bool // the agent said that it started
+	alone   bool // the agent runs no other batch item at the same time
+	started bool // the agent reported the start
 }
 
-// trouble is kept only for items that failed or lost a target.
-type trouble struct {
-	attempts uint32
-	losses   uint32 // targets lost while running alone
-	near     uint32 // hosts lost while queued there, not known to run
-	suspect  bool   // may have killed a target: runs alone from now on
-	due      time.Time
+// failureRecord counts the failures of an item. Only items that failed or lost a
+// target have one.
+type failureRecord struct {
+	attempts     uint32    // executions that ended in a retryable failure
+	targetLosses uint32    // targets lost while the item ran alone
+	queuedLosses uint32    // hosts lost while the item was granted there and not reported as started
+	suspect      bool      // may have killed a target, so it runs alone from now on
+	retryAt      time.Time // end of the back-off
 }
 
-// queue holds the items of one job that are not granted.
-type queue struct {
+// jobQueue holds the items of one job that are not granted.
+type jobQueue struct {
 	job      *Job
 	pending  *roaring.Bitmap
-	suspects *roaring.Bitmap     // pending items that run alone
-	delayed  map[uint32]struct{} // wait for their trouble's due time
+	suspects *roaring.Bitmap     // pending items that must run alone
+	delayed  map[uint32]struct{} // items in back-off until retryAt
 }
 
-// Dispatcher decides which item runs where next. It is volatile: a new owner
-// builds it again from the partition and from what agents hold.
+// Dispatcher decides which item runs next on which agent. Its state is not
+// stored: a new owner rebuilds it from the partition and from the items that
+// agents hold. Workspaces share grants by start-time fair queueing.
 type Dispatcher struct {
-	limits   Limits
-	queues   map[JobID]*queue
-	inFlight map[ItemKey]flight
-	byAgent  map[string]map[ItemKey]struct{}
-	alone    map[string]int // items granted alone, by agent: never more than one
-	troubles map[ItemKey]*trouble
-	share    func(workspace string) float64
-	served   map[string]float64 // workspace -> virtual time
-	clock    float64            // virtual time of the last grant
+	limits      Limits
+	queues      map[JobID]*jobQueue
+	inFlight    map[ItemKey]activeGrant
+	byAgent     map[string]map[ItemKey]struct{}
+	alone       map[string]int // items granted alone, by agent; at most one each
+	failures    map[ItemKey]*failureRecord
+	share       func(workspace string) float64
+	virtualTime map[string]float64 // workspace -> virtual finish time of its last grant
+	virtualNow  float64            // virtual start time of the last grant
 }
 
 // NewDispatcher returns an empty Dispatcher.
 func NewDispatcher(limits Limits) *Dispatcher {
 	return &Dispatcher{
-		limits:   limits,
-		queues:   make(map[JobID]*queue),
-		inFlight: make(map[ItemKey]flight),
-		byAgent:  make(map[string]map[ItemKey]struct{}),
-		alone:    make(map[string]int),
-		troubles: make(map[ItemKey]*trouble),
-		served:   make(map[string]float64),
+		limits:      limits,
+		queues:      make(map[JobID]*jobQueue),
+		inFlight:    make(map[ItemKey]activeGrant),
+		byAgent:     make(map[string]map[ItemKey]struct{}),
+		alone:       make(map[string]int),
+		failures:    make(map[ItemKey]*failureRecord),
+		virtualTime: make(map[string]float64),
 	}
 }
 
-// SetShares sets how to look up a workspace's weight. Weights at or below zero
-// count as 1.
+// SetShares sets the function that returns a workspace's weight. Weights at or
+// below zero count as 1.
 func (d *Dispatcher) SetShares(share func(workspace string) float64) {
 	d.share = share
 }
@@ -93,12 +96,12 @@
 	return 1
 }
 
-// Add queues the pending items of a job that are not in flight.
+// Add queues the pending items of a job that are not granted.
 func (d *Dispatcher) Add(j *Job) {
-	q := &queue{job: j, pending: j.Pending(), suspects: roaring.New(), delayed: make(map[uint32]struct{})}
+	q := &jobQueue{job: j, pending: j.Pending(), suspects: roaring.New(), delayed: make(map[uint32]struct{})}
 	if j.Commit.GetNonIdempotent() {
-		// An earlier owner may have had these run. They wait for an agent's word
-		// and are never granted again.
+		// Started items may have run under an earlier owner, so they are never
+		// granted again. They wait for a report of the agent that holds them.
 		q.pending.AndNot(j.started)
 	}
 	for key := range d.inFlight {
@@ -109,96 +112,98 @@
 	d.queues[j.ID] = q
 }
 
-// Drop forgets a job that ended.
+// Drop removes a job that has ended.
 func (d *Dispatcher) Drop(id JobID) {
 	delete(d.queues, id)
-	for key, fl := range d.inFlight {
+	for key, g := range d.inFlight {
 		if key.Job == id {
-			d.land(key, fl)
+			d.removeGrant(key, g)
 		}
 	}
-	for key := range d.troubles {
+	for key := range d.failures {
 		if key.Job == id {
-			delete(d.troubles, key)
+			delete(d.failures, key)
 		}
 	}
 }
 
-// Done forgets items whose outcome is durable.
+// Done removes items whose outcome is durable.
 func (d *Dispatcher) Done(id JobID, indexes []uint32) {
 	for _, index := range indexes {
 		key := ItemKey{Job: id, Index: index}
-		if fl, ok := d.inFlight[key]; ok {
-			d.land(key, fl)
+		if g, ok := d.inFlight[key]; ok {
+			d.removeGrant(key, g)
 		}
-		delete(d.troubles, key)
+		delete(d.failures, key)
 		if q := d.queues[id]; q != nil {
-			q.forget(index)
+			q.remove(index)
 		}
 	}
 }
 
-// forget takes an item off the queue.
-func (q *queue) forget(index uint32) {
+// remove removes an item from the queue.
+func (q *jobQueue) remove(index uint32) {
 	q.pending.Remove(index)
 	q.suspects.Remove(index)
 	delete(q.delayed, index)
 }
 
-// put queues an item. Suspects wait apart, because an agent takes only one of
-// them at a time: were it lost with several, nothing would tell the killer from
-// the others.
-func (d *Dispatcher) put(q *queue, index uint32) {
-	if t := d.troubles[ItemKey{Job: q.job.ID, Index: index}]; t != nil && t.suspect {
+// enqueue adds an item to the queue. Suspects are queued separately, because an
+// agent gets only one at a time. If an agent with several suspects were lost,
+// nothing would show which of them killed the target.
+func (d *Dispatcher) enqueue(q *jobQueue, index uint32) {
+	if rec := d.failures[ItemKey{Job: q.job.ID, Index: index}]; rec != nil && rec.suspect {
 		q.suspects.Add(index)
 		return
 	}
 	q.pending.Add(index)
 }
 
-func (d *Dispatcher) land(key ItemKey, fl flight) {
+// removeGrant ends the grant of an item without queueing the item.
+func (d *Dispatcher) removeGrant(key ItemKey, g activeGrant) {
 	delete(d.inFlight, key)
-	if fl.alone {
-		if d.alone[fl.agent]--; d.alone[fl.agent] == 0 {
-			delete(d.alone, fl.agent)
+	if g.alone {
+		if d.alone[g.agent]--; d.alone[g.agent] == 0 {
+			delete(d.alone, g.agent)
 		}
 	}
-	held := d.byAgent[fl.agent]
+	held := d.byAgent[g.agent]
 	delete(held, key)
 	if len(held) == 0 {
-		delete(d.byAgent, fl.agent)
+		delete(d.byAgent, g.agent)
 	}
 }
 
-// Adopt notes an item that an agent says it holds, granted by this owner or an
-// earlier one. It reports false when the item needs no execution any more.
+// Adopt records that an agent holds an item, granted by this owner or an earlier
+// one. It reports false when the agent must not run the item, because the item is
+// not pending or is granted to another agent.
 func (d *Dispatcher) Adopt(key ItemKey, agent string) bool {
 	q := d.queues[key.Job]
 	if q == nil || q.job.Terminal(key.Index) || key.Index >= q.job.Total {
 		return false
 	}
-	if fl, ok := d.inFlight[key]; ok {
-		return fl.agent == agent
+	if g, ok := d.inFlight[key]; ok {
+		return g.agent == agent
 	}
-	q.forget(key.Index)
-	d.launch(key, flight{agent: agent})
+	q.remove(key.Index)
+	d.addGrant(key, activeGrant{agent: agent})
 	return true
 }
 
-func (d *Dispatcher) launch(key ItemKey, fl flight) {
-	d.inFlight[key] = fl
-	if fl.alone {
-		d.alone[fl.agent]++
+func (d *Dispatcher) addGrant(key ItemKey, g activeGrant) {
+	d.inFlight[key] = g
+	if g.alone {
+		d.alone[g.agent]++
 	}
-	held := d.byAgent[fl.agent]
+	held := d.byAgent[g.agent]
 	if held == nil {
 		held = make(map[ItemKey]struct{})
-		d.byAgent[fl.agent] = held
+		d.byAgent[g.agent] = held
 	}
 	held[key] = struct{}{}
 }
 
-// Pick is one item to grant.
+// Pick is an item chosen for an agent.
 type Pick struct {
 	Key     ItemKey
 	Job     *Job
@@ -206,14 +211,15 @@
 	Attempt uint32
 }
 
-// Grant picks up to want items for an agent that serves models. Workspaces take
-// turns by weight; within one the job due first goes first, and items of a job
-// stay in order, because neighbours share prompt prefixes.
+// Grant picks up to want items for an agent that serves models. Workspaces get
+// grants in proportion to their weights. Within a workspace the job with the
+// earliest deadline goes first. Items of a job stay in order, because neighbouring
+// items often share a prompt prefix.
 func (d *Dispatcher) Grant(now time.Time, agent string, want int, models []string) []Pick {
-	d.wake(now)
+	d.enqueueDue(now)
 	var picks []Pick
 	for len(picks) < want {
-		pick, ok := d.next(agent, models)
+		pick, ok := d.pickNext(agent, models)
 		if !ok {
 			return picks
 		}
@@ -222,71 +228,77 @@
 	return picks
 }
 
-func (d *Dispatcher) wake(now time.Time) {
+// enqueueDue queues the items whose back-off has ended.
+func (d *Dispatcher) enqueueDue(now time.Time) {
 	for id, q := range d.queues {
 		for index := range q.delayed {
-			t := d.troubles[ItemKey{Job: id, Index: index}]
-			if t != nil && now.Before(t.due) {
+			rec := d.failures[ItemKey{Job: id, Index: index}]
+			if rec != nil && now.Before(rec.retryAt) {
 				continue
 			}
 			delete(q.delayed, index)
-			d.put(q, index)
+			d.enqueue(q, index)
 		}
 	}
 }
 
-func (d *Dispatcher) next(agent string, models []string) (Pick, bool) {
+// pickNext grants the next item to an agent. It reports false when no queued item
+// suits the agent.
+func (d *Dispatcher) pickNext(agent string, models []string) (Pick, bool) {
 	suspects := d.alone[agent] == 0
 	q := d.chooseQueue(models, suspects)
 	if q == nil {
 		return Pick{}, false
 	}
 	if suspects && !q.suspects.IsEmpty() {
-		return d.take(agent, q, q.suspects.Minimum(), true), true
+		return d.grantItem(agent, q, q.suspects.Minimum(), true), true
 	}
-	return d.take(agent, q, q.pending.Minimum(), false), true
+	return d.grantItem(agent, q, q.pending.Minimum(), false), true
 }
 
-func (d *Dispatcher) take(agent string, q *queue, index uint32, alone bool) Pick {
-	q.forget(index)
+// grantItem grants an item and charges its workspace for it.
+func (d *Dispatcher) grantItem(agent string, q *jobQueue, index uint32, alone bool) Pick {
+	q.remove(index)
 	key := ItemKey{Job: q.job.ID, Index: index}
-	d.launch(key, flight{agent: agent, alone: alone})
+	d.addGrant(key, activeGrant{agent: agent, alone: alone})
 	ws := q.job.Commit.GetWorkspace()
-	start := max(d.served[ws], d.clock)
-	d.clock = start
-	d.served[ws] = start + 1/d.weight(ws)
+	start := max(d.virtualTime[ws], d.virtualNow)
+	d.virtualNow = start
+	d.virtualTime[ws] = start + 1/d.weight(ws)
 	pick := Pick{Key: key, Job: q.job, Alone: alone}
-	if t := d.troubles[key]; t != nil {
-		pick.Attempt = t.attempts
+	if rec := d.failures[key]; rec != nil {
+		pick.Attempt = rec.attempts
 	}
 	return pick
 }
 
-// chooseQueue returns the queue of the workspace served least for its weight,
-// and within it the one due first.
-func (d *Dispatcher) chooseQueue(models []string, suspects bool) *queue {
-	var best *queue
+// chooseQueue returns the queue of the workspace with the lowest virtual time, and
+// within that workspace the queue with the earliest deadline. It returns nil when
+// no queue has an item for the agent.
+func (d *Dispatcher) chooseQueue(models []string, suspects bool) *jobQueue {
+	var best *jobQueue
 	for _, q := range d.queues {
-		if !q.offers(suspects) || !slices.Contains(models, q.job.Commit.GetModel()) {
+		if !q.hasGrantable(suspects) || !slices.Contains(models, q.job.Commit.GetModel()) {
 			continue
 		}
-		if best == nil || d.before(q, best) {
+		if best == nil || d.goesBefore(q, best) {
 			best = q
 		}
 	}
 	return best
 }
 
-// offers reports whether the queue has an item to grant.
-func (q *queue) offers(suspects bool) bool {
+// hasGrantable reports whether the queue has an item to grant. Suspects count only
+// if suspects is true.
+func (q *jobQueue) hasGrantable(suspects bool) bool {
 	return !q.pending.IsEmpty() || (suspects && !q.suspects.IsEmpty())
 }
 
-func (d *Dispatcher) before(a, b *queue) bool {
+func (d *Dispatcher) goesBefore(a, b *jobQueue) bool {
 	ca, cb := a.job.Commit, b.job.Commit
 	if ca.GetWorkspace() != cb.GetWorkspace() {
-		va := max(d.served[ca.GetWorkspace()], d.clock)
-		vb := max(d.served[cb.GetWorkspace()], d.clock)
+		va := max(d.virtualTime[ca.GetWorkspace()], d.virtualNow)
+		vb := max(d.virtualTime[cb.GetWorkspace()], d.virtualNow)
 		if va != vb {
 			return va < vb
 		}
@@ -298,27 +310,28 @@
 	return slices.Compare(a.job.ID[:], b.job.ID[:]) < 0
 }
 
-// Verdict says what a reported execution means for its item.
+// Verdict says what happens to an item after an execution was reported.
 type Verdict int
 
 // The verdicts.
 const (
-	VerdictIgnore  Verdict = iota // late or foreign
-	VerdictSuccess                // record success
-	VerdictFailed                 // record failure for good
-	VerdictRetry                  // queued again after a pause
+	VerdictIgnore  Verdict = iota // item is unknown, has its outcome, or is not granted to the agent
+	VerdictSuccess                // record the success
+	VerdictFailed                 // record the failure as final
+	VerdictRetry                  // the item is queued again, after a back-off if it ran
 )
 
 // Report is the outcome of one execution.
 type Report struct {
 	OK        bool
 	Retryable bool
-	NotRun    bool // never reached the engine
-	// TargetLost says that the engine died while the item ran.
+	NotRun    bool // the item never reached the engine
+	// TargetLost reports that the engine stopped while the item ran.
 	TargetLost bool
 }
 
-// Result takes one report. A success counts whoever computed it.
+// Result processes the report of one execution. A success counts whichever agent
+// reports it, a failure only if the item is granted to the agent.
 func (d *Dispatcher) Result(now time.Time, key ItemKey, agent string, r Report) Verdict {
 	q := d.queues[key.Job]
 	if q == nil || key.Index >= q.job.Total || q.job.Terminal(key.Index) {
@@ -327,41 +340,41 @@
 	if r.OK {
 		return VerdictSuccess
 	}
-	fl, ok := d.inFlight[key]
-	if !ok || fl.agent != agent {
+	g, ok := d.inFlight[key]
+	if !ok || g.agent != agent {
 		return VerdictIgnore
 	}
 	if r.NotRun {
-		d.requeue(key, fl)
+		d.requeue(key, g)
 		return VerdictRetry
 	}
 	if !r.Retryable || q.job.Commit.GetNonIdempotent() {
 		return VerdictFailed
 	}
-	t := d.troubleOf(key)
+	rec := d.failureOf(key)
 	if r.TargetLost {
-		t.noteLoss(fl)
+		rec.countTargetLoss(g)
 	} else {
-		t.attempts++
+		rec.attempts++
 	}
-	if t.attempts >= d.limits.MaxAttempts || t.losses >= d.limits.MaxTargetLoss {
+	if rec.attempts >= d.limits.MaxAttempts || rec.targetLosses >= d.limits.MaxTargetLoss {
 		return VerdictFailed
 	}
-	d.land(key, fl)
-	t.due = now.Add(d.backoff(t.attempts + t.losses))
+	d.removeGrant(key, g)
+	rec.retryAt = now.Add(d.backoff(rec.attempts + rec.targetLosses))
 	q.delayed[key.Index] = struct{}{}
 	return VerdictRetry
 }
 
-// noteLoss counts a lost target against an item that was running there.
-func (t *trouble) noteLoss(fl flight) {
-	t.suspect = true
-	if fl.alone {
-		t.losses++
+// countTargetLoss counts a lost target for an item that was running there.
+func (rec *failureRecord) countTargetLoss(g activeGrant) {
+	rec.suspect = true
+	if g.alone {
+		rec.targetLosses++
 	}
 }
 
-// maxBackoffShift keeps the doubling of pauses from overflowing.
+// maxBackoffShift keeps the exponential back-off from overflowing.
 const maxBackoffShift = 16
 
 func (d *Dispatcher) backoff(attempts uint32) time.Duration {
@@ -369,90 +382,90 @@
 	return min(pause, d.limits.BackoffMax)
 }
 
-func (d *Dispatcher) troubleOf(key ItemKey) *trouble {
-	t := d.troubles[key]
-	if t == nil {
-		t = &trouble{}
-		d.troubles[key] = t
+func (d *Dispatcher) failureOf(key ItemKey) *failureRecord {
+	rec := d.failures[key]
+	if rec == nil {
+		rec = &failureRecord{}
+		d.failures[key] = rec
 	}
-	return t
+	return rec
 }
 
-func (d *Dispatcher) requeue(key ItemKey, fl flight) {
-	d.land(key, fl)
+func (d *Dispatcher) requeue(key ItemKey, g activeGrant) {
+	d.removeGrant(key, g)
 	if q := d.queues[key.Job]; q != nil && !q.job.Terminal(key.Index) {
-		d.put(q, key.Index)
+		d.enqueue(q, key.Index)
 	}
 }
 
-// HandBack requeues an item that an agent gave back without starting it.
+// HandBack queues an item again that an agent returned without starting it.
 func (d *Dispatcher) HandBack(key ItemKey, agent string) {
-	if fl, ok := d.inFlight[key]; ok && fl.agent == agent {
-		d.requeue(key, fl)
+	if g, ok := d.inFlight[key]; ok && g.agent == agent {
+		d.requeue(key, g)
 	}
 }
 
-// MarkStarted notes that an agent is about to run an item.
+// MarkStarted records that an agent is about to run an item.
 func (d *Dispatcher) MarkStarted(key ItemKey, agent string) {
-	if fl, ok := d.inFlight[key]; ok && fl.agent == agent {
-		fl.started = true
-		d.inFlight[key] = fl
+	if g, ok := d.inFlight[key]; ok && g.agent == agent {
+		g.started = true
+		d.inFlight[key] = g
 	}
 }
 
-// nearLossLimit is how many hosts may be lost with an item queued there, not
-// known to run, before it runs alone. The word that it started may be lost
-// together with the host, so an item that kills its host at once would never be
-// suspected without this.
-const nearLossLimit = 2
+// queuedLossLimit is the number of hosts lost with an item granted there and not
+// reported as started after which the item becomes a suspect. The report of the
+// start can be lost together with the host, so without this limit an item that
+// kills its host at once would never become a suspect.
+const queuedLossLimit = 2
 
-// noteHostLoss counts a lost host against an item that was granted to it.
-func (t *trouble) noteHostLoss(fl flight) {
-	if fl.started || fl.alone {
-		t.noteLoss(fl)
+// countHostLoss counts a lost host for an item that was granted to it.
+func (rec *failureRecord) countHostLoss(g activeGrant) {
+	if g.started || g.alone {
+		rec.countTargetLoss(g)
 		return
 	}
-	t.near++
-	if t.near >= nearLossLimit {
-		t.suspect = true
+	rec.queuedLosses++
+	if rec.queuedLosses >= queuedLossLimit {
+		rec.suspect = true
 	}
 }
 
-// AgentLost requeues what a lost agent held. Items that ran there become suspects
-// and run alone next time. It returns the items that have now
-// lost too many targets, or are non-idempotent and were started; they must be
-// recorded as failed. What is in held stays with the agent.
+// AgentLost queues again the items granted to a lost agent, except those in held,
+// which stay with the agent. Items that were started there become suspects, which
+// run alone. It returns the items that the caller must record as failed, sorted:
+// those that reached MaxTargetLoss, and started non-idempotent ones.
 func (d *Dispatcher) AgentLost(agent string, held map[ItemKey]bool) []ItemKey {
-	var dead []ItemKey
+	var failed []ItemKey
 	for _, key := range d.HeldBy(agent) {
 		if held[key] {
 			continue
 		}
-		fl := d.inFlight[key]
+		g := d.inFlight[key]
 		q := d.queues[key.Job]
 		if q == nil {
-			d.land(key, fl)
+			d.removeGrant(key, g)
 			continue
 		}
 		if q.job.Commit.GetNonIdempotent() && q.job.started.Contains(key.Index) {
-			dead = append(dead, key)
+			failed = append(failed, key)
 			continue
 		}
-		t := d.troubleOf(key)
-		t.noteHostLoss(fl)
-		if t.losses >= d.limits.MaxTargetLoss {
-			dead = append(dead, key)
+		rec := d.failureOf(key)
+		rec.countHostLoss(g)
+		if rec.targetLosses >= d.limits.MaxTargetLoss {
+			failed = append(failed, key)
 			continue
 		}
-		d.requeue(key, fl)
+		d.requeue(key, g)
 	}
-	slices.SortFunc(dead, func(a, b ItemKey) int {
+	slices.SortFunc(failed, func(a, b ItemKey) int {
 		if c := slices.Compare(a.Job[:], b.Job[:]); c != 0 {
 			return c
 		}
 		return int(a.Index) - int(b.Index)
 	})
-	return dead
+	return failed
 }
 
 // HeldBy returns the items granted to an agent.
@@ -464,13 +477,13 @@
 	return keys
 }
 
-// InDoubt reports whether a started non-idempotent item is with no agent.
+// InDoubt reports whether no agent holds a started non-idempotent item.
 func (d *Dispatcher) InDoubt(key ItemKey) bool {
-	_, flying := d.inFlight[key]
-	return !flying
+	_, granted := d.inFlight[key]
+	return !granted
 }
 
-// Backlog returns how many items wait, delayed ones included.
+// Backlog returns how many items wait for a grant, including those in back-off.
 func (d *Dispatcher) Backlog() int {
 	n := 0
 	for _, q := range d.queues {
--- a/batch/fuzz_test.go
+++ b/batch/fuzz_test.go
@@ -14,17 +14,17 @@
 	}
 	f.Fuzz(func(t *testing.T, line []byte) {
 		item, err := ParseItem(line)
-		var fail *apierr.Error
-		if err != nil && !errors.As(err, &fail) {
-			t.Fatalf("untyped failure %v", err)
+		var apiErr *apierr.Error
+		if err != nil && !errors.As(err, &apiErr) {
+			t.Fatalf("error %v is not an apierr.Error", err)
 		}
 		if err == nil && (item.CustomID == "" || item.Prompt == "" || item.Model == "" || item.MaxTokens == 0) {
-			t.Fatalf("accepted %+v", item)
+			t.Fatalf("accepted item %+v with an empty field", item)
 		}
 	})
 }
 
-// FuzzApply folds arbitrary bytes: records that are not ours change nothing but
+// FuzzApply applies arbitrary bytes: records that are not envelopes change only
 // the offset.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte(""), []byte("\x0a\x10aaaaaaaaaaaaaaaa\x10\x01\x18\x01"))
@@ -33,10 +33,10 @@
 		p.Apply(infra.Record{Offset: 0, Data: a})
 		p.Apply(infra.Record{Offset: 1, Data: b})
 		if p.Next() != 2 {
-			t.Fatalf("next is %d", p.Next())
+			t.Fatalf("next offset is %d, want 2", p.Next())
 		}
 		if _, err := Restore(0, a); err == nil {
-			NewFinder().Add(infra.Record{Data: a})
+			NewSnapshotFinder().Add(infra.Record{Data: a})
 		}
 	})
 }
--- a/batch/item.go
+++ b/batch/item.go
@@ -8,7 +8,7 @@
 	"pumiceford/apierr"
 )
 
-// Item is one line of a batch file, in the form of the OpenAI batch interface.
+// Item is one line of a batch file, in the format of the OpenAI batch API.
 type Item struct {
 	CustomID  string
 	Model     string
@@ -16,7 +16,7 @@
 	MaxTokens uint32
 }
 
-// Bounds of items.
+// Limits of one item.
 const (
 	MaxItemBytes     = 256 << 10
 	MaxTokensLimit   = 32768
@@ -24,7 +24,7 @@
 	MaxCustomIDBytes = 256
 )
 
-type itemLine struct {
+type inputLine struct {
 	CustomID string   `json:"custom_id"`
 	Method   string   `json:"method"`
 	URL      string   `json:"url"`
@@ -36,7 +36,8 @@
 	Prompt    string        `json:"prompt"`
 	Messages  []ChatMessage `json:"messages"`
 	MaxTokens uint32        `json:"max_tokens"`
-	// MaxCompletionTokens is the newer name of MaxTokens.
+	// MaxCompletionTokens is the newer API name of MaxTokens. It applies if
+	// MaxTokens is 0.
 	MaxCompletionTokens uint32 `json:"max_completion_tokens"`
 }
 
@@ -46,7 +47,8 @@
 	Content string `json:"content"`
 }
 
-// ChatPrompt joins the messages of a chat into the prompt for an engine.
+// ChatPrompt joins the messages of a chat into the prompt for an engine, one
+// message per line with its role first.
 func ChatPrompt(messages []ChatMessage) string {
 	var b strings.Builder
 	for _, m := range messages {
@@ -58,8 +60,8 @@
 	return b.String()
 }
 
-// ParseItem reads one line of a batch file. Every failure is an apierr.Error
-// with CodeBadRequest or CodeTooLarge.
+// ParseItem parses and checks one line of a batch file. Every error is an
+// apierr.Error with CodeBadRequest or CodeTooLarge.
 func ParseItem(line []byte) (Item, error) {
 	if len(line) > MaxItemBytes {
 		return Item{}, apierr.New(apierr.CodeTooLarge, "item is over %d bytes", MaxItemBytes)
@@ -67,7 +69,7 @@
 	if !utf8.Valid(line) {
 		return Item{}, apierr.New(apierr.CodeBadRequest, "item is not UTF-8")
 	}
-	var l itemLine
+	var l inputLine
 	if err := json.Unmarshal(line, &l); err != nil {
 		return Item{}, apierr.New(apierr.CodeBadRequest, "item is not JSON: %v", err)
 	}
--- a/batch/job.go
+++ b/batch/job.go
@@ -10,13 +10,13 @@
 	"pumiceford/wire"
 )
 
-// JobID is the digest of the workspace and the caller's idempotency key.
+// JobID is a digest of the workspace and the caller's idempotency key.
 type JobID [16]byte
 
-// JobState is a state of a job's life cycle.
+// JobState is the state of a job in its life cycle.
 type JobState string
 
-// The states. Completed and Cancelled are terminal.
+// The states of a job. JobCompleted and JobCancelled are terminal.
 const (
 	JobRunning   JobState = "in_progress"
 	JobCompleted JobState = "completed"
@@ -30,25 +30,26 @@
 	triggerCancel  jobTrigger = "cancel"
 )
 
-// span locates a record that holds results of a job.
-type span struct {
+// resultSpan locates a record that holds results of a job, with the lowest and
+// highest index of the items.
+type resultSpan struct {
 	offset   uint64
 	min, max uint32
 }
 
-// Job is the durable state of one batch job: one bit an item and outcome, plus
-// the places of its results. It changes only through records of the log.
+// Job is the durable state of one batch job: one bit per item and outcome, and
+// the offsets of its results. Only records of the log change it.
 type Job struct {
 	ID        JobID
 	Commit    *wire.CommitJob
 	Total     uint32
 	succeeded *roaring.Bitmap
 	failed    *roaring.Bitmap
-	started   *roaring.Bitmap // non-idempotent items whose start was recorded
+	started   *roaring.Bitmap // non-idempotent items whose start is recorded
 	state     JobState
-	ended     time.Time // log time of the terminal record
-	spans     []span
-	life      *stateless.StateMachine
+	endedAt   time.Time // log time of the terminal record
+	spans     []resultSpan
+	fsm       *stateless.StateMachine
 }
 
 func newJob(id JobID, commit *wire.CommitJob, total uint32) *Job {
@@ -64,11 +65,12 @@
 	return j
 }
 
-// machine builds the life cycle over j.state when first needed. Most jobs of a
-// replay see only item records, so most never need it.
-func (j *Job) machine() *stateless.StateMachine {
-	if j.life != nil {
-		return j.life
+// stateMachine returns the state machine over j.state and builds it at the first
+// call. Most jobs never need it, because most records of a replay are item
+// records.
+func (j *Job) stateMachine() *stateless.StateMachine {
+	if j.fsm != nil {
+		return j.fsm
 	}
 	get := func(context.Context) (stateless.State, error) { return j.state, nil }
 	set := func(_ context.Context, s stateless.State) error {
@@ -81,16 +83,17 @@
 		Permit(triggerCancel, JobCancelled)
 	m.Configure(JobCompleted).Ignore(triggerCancel).Ignore(triggerAllDone)
 	m.Configure(JobCancelled).Ignore(triggerCancel).Ignore(triggerAllDone)
-	j.life = m
+	j.fsm = m
 	return m
 }
 
+// fire applies a trigger and records the log time of a state change.
 func (j *Job) fire(t jobTrigger, at time.Time) {
 	before := j.state
 	// Every state permits or ignores every trigger, so Fire cannot fail.
-	_ = j.machine().Fire(t)
+	_ = j.stateMachine().Fire(t)
 	if j.state != before {
-		j.ended = at
+		j.endedAt = at
 	}
 }
 
@@ -99,12 +102,14 @@
 	return j.state
 }
 
-// Terminal reports whether an item has its final outcome.
+// Terminal reports whether an item will not run any more, because it has its
+// outcome or the job is cancelled.
 func (j *Job) Terminal(index uint32) bool {
 	return j.state == JobCancelled || j.succeeded.Contains(index) || j.failed.Contains(index)
 }
 
-// Pending returns the items without an outcome, as a new bitmap.
+// Pending returns a new bitmap of the items without an outcome. It is empty when
+// the job has ended.
 func (j *Job) Pending() *roaring.Bitmap {
 	out := roaring.New()
 	if j.state != JobRunning {
@@ -116,14 +121,14 @@
 	return out
 }
 
-// Started returns the pending items whose non-idempotent start was recorded.
+// Started returns the pending non-idempotent items whose start is recorded.
 func (j *Job) Started() *roaring.Bitmap {
 	return roaring.And(j.started, j.Pending())
 }
 
-// apply records one outcome. The first one of an item wins; it reports false
-// for an item that had one or does not exist.
-func (j *Job) apply(o *wire.Outcome) bool {
+// applyOutcome records the outcome of an item. The first outcome wins: it reports
+// false for an item that already has one, and for an item that does not exist.
+func (j *Job) applyOutcome(o *wire.Outcome) bool {
 	if o.GetIndex() >= j.Total || j.Terminal(o.GetIndex()) {
 		return false
 	}
@@ -135,16 +140,16 @@
 	return true
 }
 
-func (j *Job) done() uint64 {
+func (j *Job) doneCount() uint64 {
 	return j.succeeded.GetCardinality() + j.failed.GetCardinality()
 }
 
 // Remaining returns how many items have no outcome yet.
 func (j *Job) Remaining() uint32 {
-	return j.Total - uint32(j.done())
+	return j.Total - uint32(j.doneCount())
 }
 
-// Info returns the readable state.
+// Info returns the state that callers can read.
 func (j *Job) Info(partition uint32) *wire.JobInfo {
 	info := &wire.JobInfo{
 		Job:           j.Commit.GetJob(),
@@ -164,24 +169,24 @@
 	if j.state == JobCancelled {
 		info.Cancelled = j.Total - info.Succeeded - info.Failed
 	}
-	if !j.ended.IsZero() {
-		info.EndedUnixMs = j.ended.UnixMilli()
+	if !j.endedAt.IsZero() {
+		info.EndedUnixMs = j.endedAt.UnixMilli()
 	}
 	return info
 }
 
-// expired reports whether the results need not be readable any more.
+// expired reports whether the job has ended and its retention has passed.
 func (j *Job) expired(now time.Time) bool {
 	if j.state == JobRunning {
 		return false
 	}
 	keep := time.Duration(j.Commit.GetKeepMs()) * time.Millisecond
-	return now.After(j.ended.Add(keep))
+	return now.After(j.endedAt.Add(keep))
 }
 
-// SpansFor returns the offsets of records that hold results of items in
+// ResultOffsets returns the offsets of records that hold results of items in
 // [from, to), oldest first.
-func (j *Job) SpansFor(from, to uint32) []uint64 {
+func (j *Job) ResultOffsets(from, to uint32) []uint64 {
 	var out []uint64
 	for _, s := range j.spans {
 		if s.max >= from && s.min < to {
@@ -191,7 +196,8 @@
 	return out
 }
 
-// ItemState returns succeeded, failed, cancelled or pending.
+// ItemState returns the state of an item: "succeeded", "failed", "cancelled" or
+// "pending".
 func (j *Job) ItemState(index uint32) string {
 	switch {
 	case j.succeeded.Contains(index):
--- a/batch/partition.go
+++ b/batch/partition.go
@@ -1,6 +1,7 @@
-// Package batch holds the batch aggregates: the partition, its files, its jobs
-// and the starts of keyed non-idempotent requests. Their state is a fold over
-// the records of one log stream. Nothing here does I/O or reads a clock.
+// Package batch defines the state of a batch partition: its files, its jobs and
+// the recorded starts of non-idempotent online requests with an idempotency key.
+// The state is a fold over the records of one log stream. The package does no I/O
+// and reads no clock.
 package batch
 
 import (
@@ -14,25 +15,25 @@
 	"pumiceford/wire"
 )
 
-// FileID is the digest of the workspace and a file's content.
+// FileID is a digest of the workspace and the file's content.
 type FileID [16]byte
 
-// KeyID is the digest of the workspace and the idempotency key of an online request.
+// KeyID is a digest of the workspace and the idempotency key of an online request.
 type KeyID [16]byte
 
-// File locates the chunks of one uploaded file.
+// File holds the metadata of one uploaded file and the offsets of its chunks.
 type File struct {
-	ID        FileID
-	Workspace string
-	Name      string
-	Lines     uint32
-	Bytes     uint64
-	Sealed    bool
-	chunks    []chunkPlace
-	touched   time.Time
+	ID         FileID
+	Workspace  string
+	Name       string
+	Lines      uint32
+	Bytes      uint64
+	Sealed     bool
+	chunks     []chunkLocation
+	modifiedAt time.Time // log time of the last chunk or the seal
 }
 
-type chunkPlace struct {
+type chunkLocation struct {
 	known  bool
 	offset uint64
 	lines  uint32
@@ -51,7 +52,7 @@
 	return f.chunks[number].offset, true
 }
 
-// Locate returns the chunk of an item and the item's line in it.
+// Locate returns the chunk that holds an item and the item's line in the chunk.
 func (f *File) Locate(index uint32) (chunk, line uint32, ok bool) {
 	for n, c := range f.chunks {
 		if index < c.lines {
@@ -62,7 +63,7 @@
 	return 0, 0, false
 }
 
-// Partition is the fold of one batch stream.
+// Partition is the state of one batch partition, folded from its log stream.
 type Partition struct {
 	Number   uint32
 	dedupe   *oplog.Dedupe
@@ -77,7 +78,7 @@
 	logTime  time.Time
 }
 
-// NewPartition returns the empty state of a stream.
+// NewPartition returns the state of a partition without records.
 func NewPartition(number uint32) *Partition {
 	return &Partition{
 		Number:   number,
@@ -89,13 +90,13 @@
 	}
 }
 
-// Next returns the offset of the first record not yet applied.
+// Next returns the offset of the next record to apply.
 func (p *Partition) Next() uint64 { return p.next }
 
 // Epoch returns the current ownership epoch, 0 before the first takeover.
 func (p *Partition) Epoch() uint64 { return p.epoch }
 
-// Owner returns the owner's name, empty after a release.
+// Owner returns the owner's name, or an empty string if no one owns the partition.
 func (p *Partition) Owner() string {
 	if p.released {
 		return ""
@@ -108,7 +109,7 @@
 	return !p.released && p.ownerInc == inc
 }
 
-// Job returns a job, nil when there is none.
+// Job returns a job, or nil if it does not exist.
 func (p *Partition) Job(id JobID) *Job { return p.jobs[id] }
 
 // Jobs calls visit for every job until it returns false.
@@ -120,17 +121,18 @@
 	}
 }
 
-// File returns a file, nil when there is none.
+// File returns a file, or nil if it does not exist.
 func (p *Partition) File(id FileID) *File { return p.files[id] }
 
-// Key returns the recorded start of a keyed request, nil when there is none.
+// Key returns the recorded start of the request with an idempotency key, or nil if
+// there is none.
 func (p *Partition) Key(id KeyID) *wire.RecordKey { return p.keys[id] }
 
-// Event tells the owner what a record changed.
+// Event reports a change made by a record.
 type Event struct {
 	Kind    EventKind
 	Job     *Job
-	Indexes []uint32 // ItemsDone: items that got their outcome by this record
+	Indexes []uint32 // of ItemsDone: items that got their outcome from this record
 }
 
 // EventKind is the kind of an Event.
@@ -144,8 +146,8 @@
 	JobEnded
 )
 
-// Apply folds one record. Records that are not valid at their offset change
-// nothing: copies, records of a superseded owner, and foreign bytes.
+// Apply applies one record and returns the changes. It ignores duplicates, records
+// of a superseded owner, and records that are not envelopes.
 func (p *Partition) Apply(rec infra.Record) []Event {
 	if rec.Offset < p.next {
 		return nil
@@ -162,10 +164,9 @@
 			events = append(events, p.takeover(env.GetEpoch(), inc, t)...)
 			continue
 		}
-		// A superseded owner may append for as long as it likes, for example
-		// after a long pause. Without this check its results, cancels and
-		// snapshots would mix with the new owner's. One would notice items
-		// that complete twice.
+		// A superseded owner may still append, for example after a long pause.
+		// Without this check its results, cancels and snapshots would mix with
+		// those of the new owner, and items would complete twice.
 		if env.GetEpoch() != p.epoch || p.released || inc != p.ownerInc {
 			continue
 		}
@@ -206,7 +207,7 @@
 	case *wire.Entry_CarryResults:
 		p.carryResults(rec.Offset, k.CarryResults)
 	case *wire.Entry_Starts:
-		p.starts(k.Starts)
+		p.recordStarts(k.Starts)
 	case *wire.Entry_Key:
 		p.recordKey(k.Key)
 	case *wire.Entry_Snapshot:
@@ -215,6 +216,8 @@
 	return nil
 }
 
+// idFrom converts an id from the wire. It reports false when the id has the wrong
+// length.
 func idFrom[T ~[16]byte](b []byte) (T, bool) {
 	var id T
 	if len(b) != len(id) {
@@ -241,10 +244,10 @@
 		return
 	}
 	for uint32(len(f.chunks)) <= c.GetNumber() {
-		f.chunks = append(f.chunks, chunkPlace{})
+		f.chunks = append(f.chunks, chunkLocation{})
 	}
-	f.chunks[c.GetNumber()] = chunkPlace{known: true, offset: offset, lines: uint32(len(c.GetLines()))}
-	f.touched = p.logTime
+	f.chunks[c.GetNumber()] = chunkLocation{known: true, offset: offset, lines: uint32(len(c.GetLines()))}
+	f.modifiedAt = p.logTime
 }
 
 func (p *Partition) carryChunk(offset uint64, c *wire.PutChunk) {
@@ -282,11 +285,11 @@
 	f.Lines = lines
 	f.Bytes = s.GetBytes()
 	f.Name = s.GetName()
-	f.touched = p.logTime
+	f.modifiedAt = p.logTime
 }
 
-// commit accepts a job once. A resend meets the job that is there; the owner
-// compares digests before it answers.
+// commit accepts a job unless one with its id exists. For a repeated request the
+// owner compares the digests of both before it replies.
 func (p *Partition) commit(c *wire.CommitJob) []Event {
 	id, ok := idFrom[JobID](c.GetJob())
 	if !ok || p.jobs[id] != nil {
@@ -326,20 +329,20 @@
 		return nil
 	}
 	events := []Event{{Kind: ItemsDone, Job: j, Indexes: done}}
-	if j.done() == uint64(j.Total) {
+	if j.doneCount() == uint64(j.Total) {
 		j.fire(triggerAllDone, p.logTime)
 		events = append(events, Event{Kind: JobEnded, Job: j})
 	}
 	return events
 }
 
-// addResults applies outcomes and remembers where they are. It returns the
-// items that got their outcome by it.
+// addResults applies the outcomes of the record at offset. It returns the items
+// that got their outcome from it.
 func (j *Job) addResults(offset uint64, outcomes []*wire.Outcome) []uint32 {
 	var done []uint32
-	s := span{offset: offset, min: ^uint32(0)}
+	s := resultSpan{offset: offset, min: ^uint32(0)}
 	for _, o := range outcomes {
-		if !j.apply(o) {
+		if !j.applyOutcome(o) {
 			continue
 		}
 		done = append(done, o.GetIndex())
@@ -365,7 +368,7 @@
 	}
 }
 
-func (p *Partition) starts(s *wire.ItemStarts) {
+func (p *Partition) recordStarts(s *wire.ItemStarts) {
 	id, _ := idFrom[JobID](s.GetJob())
 	j := p.jobs[id]
 	if j == nil || j.state != JobRunning {
@@ -382,12 +385,12 @@
 	p.keys[id] = k
 }
 
-// unusedFileKeep is how long a file stays that no job runs over. Results carry
-// what they need of it.
-const unusedFileKeep = 24 * time.Hour
+// unusedFileRetention is how long a file is kept after its upload and after the
+// last job that uses it has ended. Results do not depend on the file.
+const unusedFileRetention = 24 * time.Hour
 
-// expire drops what need not be readable any more, by the log's own time, so
-// that every reader of the same records drops the same.
+// expire drops jobs, files and keys whose retention has passed. It uses the log's
+// time, so that all readers of the same records drop the same state.
 func (p *Partition) expire() {
 	used := make(map[FileID]bool)
 	for id, j := range p.jobs {
@@ -395,13 +398,13 @@
 			delete(p.jobs, id)
 			continue
 		}
-		if j.state == JobRunning || p.logTime.Before(j.ended.Add(unusedFileKeep)) {
+		if j.state == JobRunning || p.logTime.Before(j.endedAt.Add(unusedFileRetention)) {
 			file, _ := idFrom[FileID](j.Commit.GetFile())
 			used[file] = true
 		}
 	}
 	for id, f := range p.files {
-		if !used[id] && p.logTime.After(f.touched.Add(unusedFileKeep)) {
+		if !used[id] && p.logTime.After(f.modifiedAt.Add(unusedFileRetention)) {
 			delete(p.files, id)
 		}
 	}
@@ -412,14 +415,14 @@
 	}
 }
 
-// SameJob reports whether a resend carries the content of the accepted job.
+// SameJob reports whether a request has the same content as the accepted job.
 func SameJob(j *Job, c *wire.CommitJob) bool {
 	return bytes.Equal(j.Commit.GetDigest(), c.GetDigest())
 }
 
-// OutcomesIn returns the outcomes of a job that the record holds. The record
-// must be one that SpansFor named.
-func OutcomesIn(data []byte, job JobID) []*wire.Outcome {
+// DecodeOutcomes returns the outcomes of a job in a record's data. The record must
+// be at one of the offsets that ResultOffsets returns.
+func DecodeOutcomes(data []byte, job JobID) []*wire.Outcome {
 	env, _, ok := oplog.Decode(data)
 	if !ok {
 		return nil
@@ -436,8 +439,9 @@
 	return out
 }
 
-// ChunkIn returns the chunk of a file that the record holds.
-func ChunkIn(data []byte, file FileID, number uint32) *wire.PutChunk {
+// DecodeChunk returns a chunk of a file from a record's data, or nil if the record
+// does not hold it.
+func DecodeChunk(data []byte, file FileID, number uint32) *wire.PutChunk {
 	env, _, ok := oplog.Decode(data)
 	if !ok {
 		return nil
@@ -457,8 +461,8 @@
 func mustMarshal(m proto.Message) []byte {
 	data, err := proto.Marshal(m)
 	if err != nil {
-		// Only invalid UTF-8 in a string field can fail, and strings are checked
-		// where they enter the system.
+		// Only invalid UTF-8 in a string field can make this fail, and strings are
+		// checked where they enter the system.
 		panic(err)
 	}
 	return data
--- a/batch/partition_test.go
+++ b/batch/partition_test.go
@@ -15,24 +15,24 @@
 	"pumiceford/wire"
 )
 
-// naiveLedger is the oracle: it keeps every record and answers every question by
-// reading all of them again, one item at a time, without bitmaps, spans or
+// referenceModel is the test oracle. It keeps every record and computes the state
+// by replaying all of them, one item at a time, without bitmaps, spans or
 // snapshots.
-type naiveLedger struct {
-	records []naiveRecord
+type referenceModel struct {
+	records []referenceRecord
 }
 
-type naiveRecord struct {
+type referenceRecord struct {
 	inc   oplog.Incarnation
 	seq   uint64
 	epoch uint64
 	entry *wire.Entry
 }
 
-type naiveState struct {
+type referenceState struct {
 	epoch     uint64
 	owner     oplog.Incarnation
-	held      bool
+	owned     bool
 	accepted  map[string]bool
 	cancelled map[string]bool
 	outcome   map[string]string // job and index -> first outcome
@@ -40,31 +40,32 @@
 	total     map[string]int
 }
 
-func (n *naiveLedger) read() naiveState {
-	s := naiveState{accepted: map[string]bool{}, cancelled: map[string]bool{}, outcome: map[string]string{}, started: map[string]bool{}, total: map[string]int{}}
+// replay computes the state from all records.
+func (m *referenceModel) replay() referenceState {
+	s := referenceState{accepted: map[string]bool{}, cancelled: map[string]bool{}, outcome: map[string]string{}, started: map[string]bool{}, total: map[string]int{}}
 	seen := map[oplog.Incarnation]uint64{}
-	for _, r := range n.records {
+	for _, r := range m.records {
 		if r.seq <= seen[r.inc] {
 			continue
 		}
 		seen[r.inc] = r.seq
 		if r.entry.GetTakeover() != nil {
 			if r.epoch == s.epoch+1 {
-				s.epoch, s.owner, s.held = r.epoch, r.inc, true
+				s.epoch, s.owner, s.owned = r.epoch, r.inc, true
 			}
 			continue
 		}
-		if s.held && r.epoch == s.epoch && r.inc == s.owner {
-			s.take(r.entry)
+		if s.owned && r.epoch == s.epoch && r.inc == s.owner {
+			s.apply(r.entry)
 		}
 	}
 	return s
 }
 
-func (s *naiveState) take(e *wire.Entry) {
+func (s *referenceState) apply(e *wire.Entry) {
 	switch {
 	case e.GetRelease() != nil:
-		s.held = false
+		s.owned = false
 	case e.GetCommit() != nil:
 		job := string(e.GetCommit().GetJob())
 		if !s.accepted[job] {
@@ -80,37 +81,37 @@
 		job := string(e.GetStarts().GetJob())
 		if s.accepted[job] && !s.cancelled[job] && !s.done(job) {
 			for _, i := range e.GetStarts().GetIndex() {
-				s.started[itemName(job, i)] = true
+				s.started[itemID(job, i)] = true
 			}
 		}
 	case e.GetResults() != nil:
-		s.takeResults(e.GetResults())
+		s.applyResults(e.GetResults())
 	}
 }
 
-func (s *naiveState) takeResults(r *wire.Results) {
+func (s *referenceState) applyResults(r *wire.Results) {
 	job := string(r.GetJob())
 	if !s.accepted[job] || s.cancelled[job] {
 		return
 	}
 	for _, o := range r.GetOutcomes() {
-		name := itemName(job, o.GetIndex())
-		if _, ok := s.outcome[name]; !ok && int(o.GetIndex()) < s.total[job] {
-			s.outcome[name] = fmt.Sprint(o.GetOk(), string(o.GetText()), o.GetReason())
+		id := itemID(job, o.GetIndex())
+		if _, ok := s.outcome[id]; !ok && int(o.GetIndex()) < s.total[job] {
+			s.outcome[id] = fmt.Sprint(o.GetOk(), string(o.GetText()), o.GetReason())
 		}
 	}
 }
 
-func (s *naiveState) done(job string) bool {
+func (s *referenceState) done(job string) bool {
 	for i := range s.total[job] {
-		if _, ok := s.outcome[itemName(job, uint32(i))]; !ok {
+		if _, ok := s.outcome[itemID(job, uint32(i))]; !ok {
 			return false
 		}
 	}
 	return s.accepted[job]
 }
 
-func itemName(job string, index uint32) string {
+func itemID(job string, index uint32) string {
 	return fmt.Sprintf("%x/%d", job, index)
 }
 
@@ -124,17 +125,17 @@
 	return bytes.Repeat([]byte{byte(n + 1)}, 16)
 }
 
-// ledgerMachine writes drawn records to a log and folds them three ways: record
-// by record, over snapshots, and by the naive ledger.
-type ledgerMachine struct {
-	naive  naiveLedger
-	log    []infra.Record
-	fold   *Partition
-	seqs   [testWriters]uint64
-	epochs [testWriters]uint64 // epoch of each writer's last takeover
+// foldMachine appends drawn records to a log. It folds them record by record with
+// restarts from snapshots, by a replay from offset 0, and with referenceModel.
+type foldMachine struct {
+	reference referenceModel
+	log       []infra.Record
+	fold      *Partition
+	seqs      [testWriters]uint64
+	epochs    [testWriters]uint64 // epoch of each writer's last takeover
 }
 
-func (m *ledgerMachine) append(env *wire.Envelope) {
+func (m *foldMachine) append(env *wire.Envelope) {
 	data, err := proto.Marshal(env)
 	if err != nil {
 		panic(err)
@@ -143,12 +144,12 @@
 	m.log = append(m.log, rec)
 	inc, _ := oplog.IncarnationFrom(env.GetIncarnation())
 	for _, e := range env.GetEntries() {
-		m.naive.records = append(m.naive.records, naiveRecord{inc: inc, seq: env.GetSeq(), epoch: env.GetEpoch(), entry: e})
+		m.reference.records = append(m.reference.records, referenceRecord{inc: inc, seq: env.GetSeq(), epoch: env.GetEpoch(), entry: e})
 	}
 	m.fold.Apply(rec)
 }
 
-func (m *ledgerMachine) write(writer int, epoch uint64, entry *wire.Entry) {
+func (m *foldMachine) write(writer int, epoch uint64, entry *wire.Entry) {
 	m.seqs[writer]++
 	m.append(&wire.Envelope{Incarnation: testID(100 + writer), Seq: m.seqs[writer], Epoch: epoch, Entries: []*wire.Entry{entry}})
 }
@@ -159,8 +160,9 @@
 	return uint32(rapid.IntRange(0, testItems).Draw(t, "index"))
 }
 
-// Takeover claims the partition, mostly at the next epoch, sometimes at an old one.
-func (m *ledgerMachine) Takeover(t *rapid.T) {
+// Takeover appends a takeover, mostly with the next epoch, sometimes with an old
+// one or a gap.
+func (m *foldMachine) Takeover(t *rapid.T) {
 	w := drawWriter(t)
 	epoch := m.fold.Epoch() + 1
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
@@ -173,14 +175,14 @@
 	m.write(w, epoch, &wire.Entry{Kind: &wire.Entry_Takeover{Takeover: &wire.Takeover{Owner: fmt.Sprint(w)}}})
 }
 
-// Release gives the partition up, validly or not.
-func (m *ledgerMachine) Release(t *rapid.T) {
+// Release appends a release of a writer that may not own the partition.
+func (m *foldMachine) Release(t *rapid.T) {
 	w := drawWriter(t)
 	m.write(w, m.epochs[w], &wire.Entry{Kind: &wire.Entry_Release{Release: &wire.Release{}}})
 }
 
-// Accept puts a file and commits a job over it.
-func (m *ledgerMachine) Accept(t *rapid.T) {
+// Accept appends a file and a job over it.
+func (m *foldMachine) Accept(t *rapid.T) {
 	w := drawWriter(t)
 	job := drawJob(t)
 	m.write(w, m.epochs[w], &wire.Entry{Kind: &wire.Entry_Chunk{Chunk: &wire.PutChunk{Workspace: "w", File: job, Lines: make([][]byte, testItems)}}})
@@ -188,8 +190,8 @@
 	m.write(w, m.epochs[w], &wire.Entry{Kind: &wire.Entry_Commit{Commit: &wire.CommitJob{Job: job, File: job, Workspace: "w", KeepMs: time.Hour.Milliseconds()}}})
 }
 
-// Result reports outcomes.
-func (m *ledgerMachine) Result(t *rapid.T) {
+// Result appends outcomes of drawn items.
+func (m *foldMachine) Result(t *rapid.T) {
 	w := drawWriter(t)
 	outcomes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) *wire.Outcome {
 		return &wire.Outcome{Index: drawIndex(t), Ok: rapid.Bool().Draw(t, "ok"), Text: []byte(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "text"))}
@@ -197,32 +199,32 @@
 	m.write(w, m.epochs[w], &wire.Entry{Kind: &wire.Entry_Results{Results: &wire.Results{Job: drawJob(t), Outcomes: outcomes}}})
 }
 
-// Start records a non-idempotent start.
-func (m *ledgerMachine) Start(t *rapid.T) {
+// Start appends the start of a non-idempotent item.
+func (m *foldMachine) Start(t *rapid.T) {
 	w := drawWriter(t)
 	m.write(w, m.epochs[w], &wire.Entry{Kind: &wire.Entry_Starts{Starts: &wire.ItemStarts{Job: drawJob(t), Index: []uint32{uint32(rapid.IntRange(0, testItems-1).Draw(t, "index"))}}}})
 }
 
-// Cancel cancels a job.
-func (m *ledgerMachine) Cancel(t *rapid.T) {
+// Cancel appends the cancel of a job.
+func (m *foldMachine) Cancel(t *rapid.T) {
 	w := drawWriter(t)
 	m.write(w, m.epochs[w], &wire.Entry{Kind: &wire.Entry_Cancel{Cancel: &wire.CancelJob{Job: drawJob(t)}}})
 }
 
-// LateCopy appends an earlier record once more.
-func (m *ledgerMachine) LateCopy(t *rapid.T) {
+// LateDuplicate appends an earlier record again.
+func (m *foldMachine) LateDuplicate(t *rapid.T) {
 	if len(m.log) == 0 {
-		t.Skip("nothing to copy")
+		t.Skip("no record to duplicate")
 	}
 	env, _, _ := oplog.Decode(m.log[rapid.IntRange(0, len(m.log)-1).Draw(t, "record")].Data)
 	m.append(env)
 }
 
 // Snapshot replaces the fold by one restored from its snapshot, as a new owner
-// would.
-func (m *ledgerMachine) Snapshot(t *rapid.T) {
+// does.
+func (m *foldMachine) Snapshot(t *rapid.T) {
 	size := rapid.IntRange(40, 400).Draw(t, "part size")
-	finder := NewFinder()
+	finder := NewSnapshotFinder()
 	for n, part := range m.fold.Snapshot(size) {
 		env := &wire.Envelope{Incarnation: testID(200), Seq: uint64(n + 1), Epoch: m.fold.Epoch(), Entries: []*wire.Entry{{Kind: &wire.Entry_Snapshot{Snapshot: part}}}}
 		data, err := proto.Marshal(env)
@@ -233,7 +235,7 @@
 	}
 	data, next, ok := finder.Snapshot()
 	if !ok || next != m.fold.Next() {
-		t.Fatalf("snapshot of offset %d: found %t at %d", m.fold.Next(), ok, next)
+		t.Fatalf("snapshot at offset %d: found is %t with offset %d", m.fold.Next(), ok, next)
 	}
 	fold, err := Restore(0, data)
 	if err != nil {
@@ -242,9 +244,9 @@
 	m.fold = fold
 }
 
-// Check compares the fold with the naive ledger and with a replay from offset 0.
-func (m *ledgerMachine) Check(t *rapid.T) {
-	want := m.naive.read()
+// Check compares the fold, and a replay from offset 0, with the reference model.
+func (m *foldMachine) Check(t *rapid.T) {
+	want := m.reference.replay()
 	m.compare(t, "fold", m.fold, &want)
 	replay := NewPartition(0)
 	for _, rec := range m.log {
@@ -253,15 +255,15 @@
 	m.compare(t, "replay", replay, &want)
 }
 
-func (m *ledgerMachine) compare(t *rapid.T, what string, p *Partition, want *naiveState) {
-	if p.Epoch() != want.epoch || p.OwnedBy(want.owner) != want.held {
-		t.Fatalf("%s: epoch %d owned %t, want %d %t", what, p.Epoch(), p.OwnedBy(want.owner), want.epoch, want.held)
+func (m *foldMachine) compare(t *rapid.T, what string, p *Partition, want *referenceState) {
+	if p.Epoch() != want.epoch || p.OwnedBy(want.owner) != want.owned {
+		t.Fatalf("%s: epoch %d owned %t, want %d %t", what, p.Epoch(), p.OwnedBy(want.owner), want.epoch, want.owned)
 	}
 	for n := range testJobs {
 		id := testID(n)
 		j := p.Job(JobID(id))
 		if (j != nil) != want.accepted[string(id)] {
-			t.Fatalf("%s: job %d there: %t", what, n, j != nil)
+			t.Fatalf("%s: job %d exists: %t; the reference model disagrees", what, n, j != nil)
 		}
 		if j != nil {
 			m.compareJob(t, what, j, want)
@@ -269,7 +271,7 @@
 	}
 }
 
-func (m *ledgerMachine) compareJob(t *rapid.T, what string, j *Job, want *naiveState) {
+func (m *foldMachine) compareJob(t *rapid.T, what string, j *Job, want *referenceState) {
 	job := string(j.ID[:])
 	state := JobRunning
 	switch {
@@ -286,26 +288,27 @@
 	}
 	texts := m.outcomeTexts(j)
 	for i := range uint32(testItems) {
-		got, want1 := texts[i], want.outcome[itemName(job, i)]
-		if got != want1 {
-			t.Fatalf("%s: item %d is %q, want %q", what, i, got, want1)
+		got, outcome := texts[i], want.outcome[itemID(job, i)]
+		if got != outcome {
+			t.Fatalf("%s: item %d is %q, want %q", what, i, got, outcome)
 		}
-		if has := j.succeeded.Contains(i) || j.failed.Contains(i); has != (want1 != "") {
-			t.Fatalf("%s: item %d terminal %t", what, i, has)
+		if terminal := j.succeeded.Contains(i) || j.failed.Contains(i); terminal != (outcome != "") {
+			t.Fatalf("%s: item %d terminal: %t; the reference model disagrees", what, i, terminal)
 		}
-		if j.started.Contains(i) != want.started[itemName(job, i)] {
-			t.Fatalf("%s: item %d started %t", what, i, j.started.Contains(i))
+		if j.started.Contains(i) != want.started[itemID(job, i)] {
+			t.Fatalf("%s: item %d started: %t; the reference model disagrees", what, i, j.started.Contains(i))
 		}
 	}
 }
 
-// outcomeTexts reads results as the ledger does: by spans, the first one counts.
-func (m *ledgerMachine) outcomeTexts(j *Job) map[uint32]string {
+// outcomeTexts reads results as package ledger does: from the records that
+// ResultOffsets returns, and the first outcome of an item counts.
+func (m *foldMachine) outcomeTexts(j *Job) map[uint32]string {
 	out := make(map[uint32]string)
-	offsets := j.SpansFor(0, testItems)
+	offsets := j.ResultOffsets(0, testItems)
 	slices.Sort(offsets)
 	for _, off := range slices.Compact(offsets) {
-		for _, o := range OutcomesIn(m.log[off].Data, j.ID) {
+		for _, o := range DecodeOutcomes(m.log[off].Data, j.ID) {
 			if _, ok := out[o.GetIndex()]; !ok {
 				out[o.GetIndex()] = fmt.Sprint(o.GetOk(), string(o.GetText()), o.GetReason())
 			}
@@ -314,16 +317,17 @@
 	return out
 }
 
-// Symptom: an item has another outcome, or a job another state, than its valid
-// records say. Sequence: drawn takeovers, writes of superseded owners, late copies
-// and restarts from snapshots. Cause guarded against: a dropped fence, dedupe by
-// content, a second outcome that replaces the first, a snapshot that forgets a bit.
-func TestFoldAgainstNaiveLedger(t *testing.T) {
+// Guards against a wrong outcome of an item or a wrong state of a job after
+// takeovers, writes of superseded owners, late duplicates and restarts from
+// snapshots. This happens when the epoch fence is missing, records are
+// deduplicated by content, a later outcome replaces the first, or a snapshot loses
+// state.
+func TestFoldMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := &ledgerMachine{fold: NewPartition(0)}
+		m := &foldMachine{fold: NewPartition(0)}
 		rt.Repeat(map[string]func(*rapid.T){
 			"takeover": m.Takeover, "release": m.Release, "accept": m.Accept, "result": m.Result,
-			"more results": m.Result, "start": m.Start, "cancel": m.Cancel, "late copy": m.LateCopy,
+			"more results": m.Result, "start": m.Start, "cancel": m.Cancel, "late copy": m.LateDuplicate,
 			"snapshot": m.Snapshot, "": m.Check,
 		})
 	})
--- a/batch/seed_test.go
+++ b/batch/seed_test.go
@@ -2,8 +2,8 @@
 
 import "flag"
 
-// Draws are the same in every run unless the command line gives another seed
-// with -rapid.seed.
+// Fixes the seed of property tests, so that every run draws the same values unless
+// -rapid.seed is given.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
--- a/batch/snapshot.go
+++ b/batch/snapshot.go
@@ -11,10 +11,10 @@
 	"pumiceford/wire"
 )
 
-// Snapshot returns the state as parts of at most maxPart bytes, ready to be
-// appended by the owner. The parts cover the stream up to Next.
+// Snapshot returns the state, encoded and split into parts of at most maxPart
+// bytes. It covers the records before Next.
 func (p *Partition) Snapshot(maxPart int) []*wire.SnapshotPart {
-	data := mustMarshal(p.state())
+	data := mustMarshal(p.toWire())
 	count := (len(data) + maxPart - 1) / maxPart
 	parts := make([]*wire.SnapshotPart, 0, count)
 	for n := 0; n < count; n++ {
@@ -30,7 +30,7 @@
 	return parts
 }
 
-func (p *Partition) state() *wire.PartitionSnapshot {
+func (p *Partition) toWire() *wire.PartitionSnapshot {
 	s := &wire.PartitionSnapshot{
 		Next:             p.next,
 		Epoch:            p.epoch,
@@ -58,14 +58,15 @@
 		Lines:      f.Lines,
 		Bytes:      f.Bytes,
 		Sealed:     f.Sealed,
-		TimeUnixMs: f.touched.UnixMilli(),
+		TimeUnixMs: f.modifiedAt.UnixMilli(),
 	}
 	for _, c := range f.chunks {
-		place := uint64(0)
+		// The encoded offset is one higher, because 0 means an unknown chunk.
+		encoded := uint64(0)
 		if c.known {
-			place = c.offset + 1
+			encoded = c.offset + 1
 		}
-		out.ChunkOffsets = append(out.ChunkOffsets, place)
+		out.ChunkOffsets = append(out.ChunkOffsets, encoded)
 		out.ChunkLines = append(out.ChunkLines, c.lines)
 	}
 	return out
@@ -80,8 +81,8 @@
 		Started:   bitmapBytes(j.started),
 		Cancelled: j.state == JobCancelled,
 	}
-	if !j.ended.IsZero() {
-		out.EndedUnixMs = j.ended.UnixMilli()
+	if !j.endedAt.IsZero() {
+		out.EndedUnixMs = j.endedAt.UnixMilli()
 	}
 	for _, s := range j.spans {
 		out.Spans = append(out.Spans, &wire.ResultSpan{Offset: s.offset, MinIndex: s.min, MaxIndex: s.max})
@@ -93,13 +94,13 @@
 	b.RunOptimize()
 	data, err := b.ToBytes()
 	if err != nil {
-		// Writing a bitmap to memory does not fail.
+		// Writing a bitmap to memory cannot fail.
 		panic(err)
 	}
 	return data
 }
 
-// Restore builds a partition from a snapshot's bytes.
+// Restore returns the partition encoded in a snapshot.
 func Restore(number uint32, data []byte) (*Partition, error) {
 	s := &wire.PartitionSnapshot{}
 	if err := proto.Unmarshal(data, s); err != nil {
@@ -132,18 +133,18 @@
 		return
 	}
 	f := &File{
-		ID:        id,
-		Workspace: s.GetWorkspace(),
-		Name:      s.GetName(),
-		Lines:     s.GetLines(),
-		Bytes:     s.GetBytes(),
-		Sealed:    s.GetSealed(),
-		touched:   time.UnixMilli(s.GetTimeUnixMs()),
-	}
-	for n, place := range s.GetChunkOffsets() {
-		c := chunkPlace{known: place > 0, lines: s.GetChunkLines()[n]}
+		ID:         id,
+		Workspace:  s.GetWorkspace(),
+		Name:       s.GetName(),
+		Lines:      s.GetLines(),
+		Bytes:      s.GetBytes(),
+		Sealed:     s.GetSealed(),
+		modifiedAt: time.UnixMilli(s.GetTimeUnixMs()),
+	}
+	for n, encoded := range s.GetChunkOffsets() {
+		c := chunkLocation{known: encoded > 0, lines: s.GetChunkLines()[n]}
 		if c.known {
-			c.offset = place - 1
+			c.offset = encoded - 1
 		}
 		f.chunks = append(f.chunks, c)
 	}
@@ -157,50 +158,51 @@
 	}
 	j := newJob(id, s.GetCommit(), s.GetTotal())
 	for _, part := range []struct {
-		into *roaring.Bitmap
-		data []byte
+		bitmap *roaring.Bitmap
+		data   []byte
 	}{{j.succeeded, s.GetSucceeded()}, {j.failed, s.GetFailed()}, {j.started, s.GetStarted()}} {
-		if err := part.into.UnmarshalBinary(part.data); err != nil {
+		if err := part.bitmap.UnmarshalBinary(part.data); err != nil {
 			return err
 		}
 	}
 	switch {
 	case s.GetCancelled():
 		j.state = JobCancelled
-	case j.done() == uint64(j.Total):
+	case j.doneCount() == uint64(j.Total):
 		j.state = JobCompleted
 	}
 	if s.GetEndedUnixMs() != 0 {
-		j.ended = time.UnixMilli(s.GetEndedUnixMs())
+		j.endedAt = time.UnixMilli(s.GetEndedUnixMs())
 	}
 	for _, sp := range s.GetSpans() {
-		j.spans = append(j.spans, span{offset: sp.GetOffset(), min: sp.GetMinIndex(), max: sp.GetMaxIndex()})
+		j.spans = append(j.spans, resultSpan{offset: sp.GetOffset(), min: sp.GetMinIndex(), max: sp.GetMaxIndex()})
 	}
 	p.jobs[id] = j
 	return nil
 }
 
-// Carry lists the state whose records lie below an offset and must be repeated
-// before the log trims them.
+// Carry lists the parts of the state that must be appended to the log again
+// (carried forward) before the log trims their records.
 type Carry struct {
 	Chunks []CarryChunk
 	Spans  []CarrySpan
 }
 
-// CarryChunk names a chunk to repeat.
+// CarryChunk locates a file chunk to carry forward.
 type CarryChunk struct {
 	File   FileID
 	Number uint32
 	Offset uint64
 }
 
-// CarrySpan names a result record to repeat.
+// CarrySpan locates the record of a job's results to carry forward.
 type CarrySpan struct {
 	Job    JobID
 	Offset uint64
 }
 
-// CarryBelow returns what must be repeated for the log to trim below offset.
+// CarryBelow returns what must be carried forward before the log trims the records
+// below offset.
 func (p *Partition) CarryBelow(offset uint64) Carry {
 	var out Carry
 	for id, f := range p.files {
@@ -222,47 +224,49 @@
 	return out
 }
 
-// Finder picks the snapshot to start from out of the records still kept.
+// SnapshotFinder selects the snapshot to recover from among the records that the
+// log still keeps.
 //
-// The records that would prove who owned the partition may be trimmed. A
-// superseded owner can still append snapshot parts, and starting from them would
-// bring back old state. So the complete snapshot of the highest epoch wins, the
-// newest of them when there are several: an owner that took over later has
-// written one of its own before anything it needs was trimmed.
-type Finder struct {
-	parts map[finderKey][][]byte
-	best  finderKey
+// The takeover records that show who owned the partition may be trimmed. A
+// superseded owner can still append snapshot parts, and recovery from them would
+// restore old state. Therefore the newest complete snapshot of the highest epoch
+// is selected. This is safe, because a later owner writes a snapshot of its own
+// before any record that it needs is trimmed.
+type SnapshotFinder struct {
+	parts map[snapshotKey][][]byte
+	best  snapshotKey
 	found bool
 }
 
-type finderKey struct {
+type snapshotKey struct {
 	inc   oplog.Incarnation
 	epoch uint64
 	id    uint64
 }
 
-// NewFinder returns an empty Finder.
-func NewFinder() *Finder {
-	return &Finder{parts: make(map[finderKey][][]byte)}
+// NewSnapshotFinder returns an empty Finder.
+func NewSnapshotFinder() *SnapshotFinder {
+	return &SnapshotFinder{parts: make(map[snapshotKey][][]byte)}
 }
 
-// Add looks at one record.
-func (f *Finder) Add(rec infra.Record) {
+// Add adds the snapshot parts in a record.
+func (f *SnapshotFinder) Add(rec infra.Record) {
 	env, inc, ok := oplog.Decode(rec.Data)
 	if !ok {
 		return
 	}
 	for _, e := range env.GetEntries() {
 		if part := e.GetSnapshot(); part != nil {
-			f.addPart(finderKey{inc: inc, epoch: env.GetEpoch(), id: part.GetId()}, part)
+			f.addPart(snapshotKey{inc: inc, epoch: env.GetEpoch(), id: part.GetId()}, part)
 		}
 	}
 }
 
-// maxSnapshotParts bounds what a damaged record could make us allocate.
+// maxSnapshotParts bounds the memory that a damaged record can make the finder
+// allocate.
 const maxSnapshotParts = 65536
 
-func (f *Finder) addPart(key finderKey, part *wire.SnapshotPart) {
+func (f *SnapshotFinder) addPart(key snapshotKey, part *wire.SnapshotPart) {
 	if part.GetParts() > maxSnapshotParts || part.GetPart() >= part.GetParts() {
 		return
 	}
@@ -286,8 +290,9 @@
 	}
 }
 
-// Snapshot returns the chosen snapshot's bytes and the offset it covers.
-func (f *Finder) Snapshot() (data []byte, next uint64, ok bool) {
+// Snapshot returns the data of the selected snapshot and the offset of the first
+// record after it.
+func (f *SnapshotFinder) Snapshot() (data []byte, next uint64, ok bool) {
 	if !f.found {
 		return nil, 0, false
 	}
--- a/ledger/commit.go
+++ b/ledger/commit.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// customID reads an item's custom_id from the input file. It returns an empty
-// string when the item cannot be read.
+// customID returns an item's custom_id from the input file, or an empty string if
+// the item cannot be read.
 func (o *Owner) customID(ctx context.Context, j *batch.Job, index uint32) string {
 	if j == nil {
 		return ""
--- a/ledger/dispatch.go
+++ b/ledger/dispatch.go
@@ -201,7 +201,7 @@
 	if err != nil {
 		return nil, err
 	}
-	chunk := batch.ChunkIn(data, file, number)
+	chunk := batch.DecodeChunk(data, file, number)
 	if chunk == nil {
 		return nil, apierr.New(apierr.CodeInternal, "chunk is not where it should be")
 	}
--- a/ledger/feed.go
+++ b/ledger/feed.go
@@ -15,7 +15,8 @@
 // ErrStreamClosed reports that this side closed a batch stream.
 var ErrStreamClosed = errors.New("batch stream closed")
 
-// Stream is one batch stream to an agent.
+// Stream is one batch stream to an agent. Close may be called concurrently with
+// Send and Recv, and makes both fail.
 type Stream interface {
 	Send(m *wire.FeedDown) error
 	Recv(m *wire.FeedUp) error
--- a/ledger/maintain.go
+++ b/ledger/maintain.go
@@ -139,7 +139,7 @@
 	if err != nil || !old {
 		return false, err
 	}
-	chunk := batch.ChunkIn(data, c.File, c.Number)
+	chunk := batch.DecodeChunk(data, c.File, c.Number)
 	if chunk == nil {
 		return true, nil
 	}
@@ -161,7 +161,7 @@
 	carry := &wire.CarryResults{
 		Job:       append([]byte(nil), s.Job[:]...),
 		OldOffset: s.Offset,
-		Outcomes:  batch.OutcomesIn(data, s.Job),
+		Outcomes:  batch.DecodeOutcomes(data, s.Job),
 	}
 	entry := &wire.Entry{Kind: &wire.Entry_CarryResults{CarryResults: carry}}
 	if proto.Size(entry) > o.cfg.RecordLimit-envelopeReserve {
--- a/ledger/ops.go
+++ b/ledger/ops.go
@@ -327,7 +327,7 @@
 	}
 	o.mu.Lock()
 	to := min(r.GetFrom()+limit, j.Total)
-	offsets := j.SpansFor(r.GetFrom(), to)
+	offsets := j.ResultOffsets(r.GetFrom(), to)
 	states := make(map[uint32]string)
 	for index := r.GetFrom(); index < to; index++ {
 		if s := j.ItemState(index); s != "pending" {
@@ -368,7 +368,7 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, oc := range batch.OutcomesIn(data, id) {
+		for _, oc := range batch.DecodeOutcomes(data, id) {
 			if oc.GetIndex() < from || oc.GetIndex() >= to || out[oc.GetIndex()] != nil {
 				continue
 			}
--- a/ledger/recover.go
+++ b/ledger/recover.go
@@ -102,7 +102,7 @@
 // findSnapshot restores the partition from the newest snapshot in [from, tail).
 // It returns nil when there is none.
 func findSnapshot(ctx context.Context, log infra.Log, number uint32, from, tail uint64) (*batch.Partition, error) {
-	finder := batch.NewFinder()
+	finder := batch.NewSnapshotFinder()
 	for from < tail {
 		page, err := log.Read(ctx, StreamName(number), from, recoverReadBytes, 0)
 		if err != nil {
--- a/oplog/writer.go
+++ b/oplog/writer.go
@@ -18,7 +18,7 @@
 type Apply func(rec infra.Record)
 
 // Stream reads one log stream and appends to it. Only one goroutine at a time may
-// use it, except for Failing.
+// use it, unless a method says otherwise.
 type Stream struct {
 	log   infra.Log
 	name  string
@@ -79,7 +79,7 @@
 	return s.unavailable.Load()
 }
 
-// recordResult sets what Failing reports from the result of a call.
+// recordResult records whether the log answered a call.
 func (s *Stream) recordResult(err error) {
 	s.unavailable.Store(err != nil && !isRejection(err))
 }
