--- a/ledger/commit.go
+++ b/ledger/commit.go
@@ -83,7 +83,7 @@
 // completesJob reports whether the buffered outcomes complete any job.
 func (o *Owner) completesJob() bool {
 	for id, outcomes := range o.results {
-		if j := o.part.Job(id); j != nil && uint32(len(outcomes)) >= j.Remaining() {
+		if j := o.partition.Job(id); j != nil && uint32(len(outcomes)) >= j.Remaining() {
 			return true
 		}
 	}
--- a/ledger/dispatch.go
+++ b/ledger/dispatch.go
@@ -51,8 +51,8 @@
 	if now.Sub(o.takenOverAt) < o.cfg.Grace || o.bufferedBytes >= o.cfg.MaxBuffered {
 		return nil
 	}
-	o.disp.SetShares(o.cfg.Share)
-	picks := o.disp.Grant(now, f.agent, min(f.want, maxGrantsPerMessage), f.models)
+	o.dispatcher.SetShares(o.cfg.Share)
+	picks := o.dispatcher.Grant(now, f.agent, min(f.want, maxGrantsPerMessage), f.models)
 	f.want -= len(picks)
 	return picks
 }
@@ -93,7 +93,7 @@
 func (o *Owner) handBack(agent string, key batch.ItemKey) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.disp.HandBack(key, agent)
+	o.dispatcher.HandBack(key, agent)
 }
 
 // failItem records an item as failed without an execution.
@@ -139,7 +139,7 @@
 	var file batch.FileID
 	copy(file[:], j.Commit.GetFile())
 	o.mu.Lock()
-	f := o.part.File(file)
+	f := o.partition.File(file)
 	if f == nil {
 		o.mu.Unlock()
 		return nil, apierr.New(apierr.CodeNotFound, "input file does not exist")
--- a/ledger/feed.go
+++ b/ledger/feed.go
@@ -23,8 +23,8 @@
 	Close()
 }
 
-// feed is the owner's side of the batch stream to one agent. feed.mu guards the
-// next outgoing message.
+// feed is the owner's side of the batch stream to one agent. feed.mu guards
+// outgoing; Owner.mu guards the last group of fields.
 type feed struct {
 	owner  *Owner
 	agent  string
@@ -49,11 +49,11 @@
 const feedKeepalive = time.Second
 
 // Attach serves the batch stream to an agent until the stream or ctx ends.
-func (o *Owner) Attach(ctx context.Context, agent string, st Stream) {
+func (o *Owner) Attach(ctx context.Context, agent string, stream Stream) {
 	f := &feed{
 		owner:    o,
 		agent:    agent,
-		stream:   st,
+		stream:   stream,
 		outgoing: &wire.FeedDown{},
 		wakeup:   make(chan struct{}, 1),
 		closed:   make(chan struct{}),
@@ -79,7 +79,7 @@
 	delete(o.disconnectedAt, f.agent)
 	// A job that was cancelled while the agent was disconnected may still be
 	// queued there.
-	o.part.Jobs(func(j *batch.Job) bool {
+	o.partition.Jobs(func(j *batch.Job) bool {
 		if j.State() == batch.JobCancelled {
 			f.outgoing.Cancelled = append(f.outgoing.Cancelled, o.jobRef(j.ID))
 		}
@@ -179,7 +179,7 @@
 		return false
 	}
 	m.Epochs = []*wire.PartitionEpoch{{Partition: o.number, Epoch: o.epoch}}
-	m.Backlog = uint32(min(o.disp.Backlog(), maxReportedBacklog))
+	m.Backlog = uint32(min(o.dispatcher.Backlog(), maxReportedBacklog))
 	return true
 }
 
@@ -236,7 +236,7 @@
 func (o *Owner) handleItems(f *feed, m *wire.FeedUp) {
 	for _, ref := range m.GetStarted() {
 		if key, ok := o.ownItemKey(ref); ok {
-			o.disp.MarkStarted(key, f.agent)
+			o.dispatcher.MarkStarted(key, f.agent)
 		}
 	}
 	for _, res := range m.GetResults() {
@@ -244,7 +244,7 @@
 	}
 	for _, ref := range m.GetHandedBack() {
 		if key, ok := o.ownItemKey(ref); ok {
-			o.disp.HandBack(key, f.agent)
+			o.dispatcher.HandBack(key, f.agent)
 		}
 	}
 }
@@ -279,7 +279,7 @@
 			continue
 		}
 		held[key] = true
-		if !o.disp.Adopt(key, f.agent) {
+		if !o.dispatcher.Adopt(key, f.agent) {
 			f.ackDurable(ref)
 		}
 	}
@@ -289,9 +289,9 @@
 		o.requeueLost(f.agent, held)
 		return
 	}
-	for _, key := range o.disp.HeldBy(f.agent) {
+	for _, key := range o.dispatcher.HeldBy(f.agent) {
 		if !held[key] {
-			o.disp.HandBack(key, f.agent)
+			o.dispatcher.HandBack(key, f.agent)
 		}
 	}
 }
@@ -329,9 +329,9 @@
 // which the agent's next incarnation holds. Items that must not run again are
 // recorded as failed. Owner.mu must be held.
 func (o *Owner) requeueLost(agent string, held map[batch.ItemKey]bool) {
-	for _, key := range o.disp.AgentLost(agent, held) {
+	for _, key := range o.dispatcher.AgentLost(agent, held) {
 		reason := ReasonTargetLost
-		if j := o.part.Job(key.Job); j != nil && j.Commit.GetNonIdempotent() {
+		if j := o.partition.Job(key.Job); j != nil && j.Commit.GetNonIdempotent() {
 			reason = ReasonOutcomeUnknown
 		}
 		o.bufferOutcome(key, &wire.Outcome{Index: key.Index, Reason: reason}, resultAck{})
@@ -354,14 +354,14 @@
 		return
 	}
 	o.inDoubtResolved = true
-	o.part.Jobs(func(j *batch.Job) bool {
+	o.partition.Jobs(func(j *batch.Job) bool {
 		if j.State() != batch.JobRunning || !j.Commit.GetNonIdempotent() {
 			return true
 		}
 		it := j.Started().Iterator()
 		for it.HasNext() {
 			key := batch.ItemKey{Job: j.ID, Index: it.Next()}
-			if o.disp.InDoubt(key) {
+			if o.dispatcher.InDoubt(key) {
 				o.bufferOutcome(key, &wire.Outcome{Index: key.Index, Reason: ReasonOutcomeUnknown}, resultAck{})
 			}
 		}
@@ -383,7 +383,7 @@
 		}
 		return
 	}
-	verdict := o.disp.Result(time.Now(), key, f.agent, batch.Report{
+	verdict := o.dispatcher.Result(time.Now(), key, f.agent, batch.Report{
 		OK:         res.GetOk(),
 		Retryable:  res.GetRetryable(),
 		NotRun:     res.GetNotRun(),
--- a/ledger/lease.go
+++ b/ledger/lease.go
@@ -15,7 +15,7 @@
 // owned reports whether this node owns the partition according to the records
 // read so far. Owner.mu must be held.
 func (o *Owner) owned() bool {
-	return o.epoch != 0 && o.part.Epoch() == o.epoch && o.part.OwnedBy(o.inc)
+	return o.epoch != 0 && o.partition.Epoch() == o.epoch && o.partition.OwnedBy(o.inc)
 }
 
 // followInterval is how often an idle owner reads the stream to detect a takeover
--- a/ledger/maintain.go
+++ b/ledger/maintain.go
@@ -28,7 +28,7 @@
 // waits for it as flush does.
 func (o *Owner) maintain(ctx context.Context) error {
 	o.mu.Lock()
-	behind := o.part.Next() - o.snapshotOffset
+	behind := o.partition.Next() - o.snapshotOffset
 	old := time.Since(o.snapshotTime) >= o.cfg.Retention/snapshotRetentionDivisor
 	requests := o.snapshotRequests
 	o.snapshotRequests = nil
@@ -64,8 +64,8 @@
 // snapshot appends the state in parts that fit the record limit.
 func (o *Owner) snapshot(ctx context.Context) error {
 	o.mu.Lock()
-	parts := o.part.Snapshot(o.cfg.RecordLimit - 2*envelopeReserve)
-	o.snapshotOffset = o.part.Next()
+	parts := o.partition.Snapshot(o.cfg.RecordLimit - 2*envelopeReserve)
+	o.snapshotOffset = o.partition.Next()
 	o.snapshotTime = time.Now()
 	o.mu.Unlock()
 	for _, part := range parts {
@@ -83,7 +83,7 @@
 // with TrimmedError.
 func (o *Owner) carry(ctx context.Context) error {
 	o.mu.Lock()
-	need := o.part.CarryBelow(o.part.Next())
+	need := o.partition.CarryBelow(o.partition.Next())
 	o.mu.Unlock()
 	horizon := time.Now().Add(-o.cfg.Retention / carryRetentionDivisor)
 	slices.SortFunc(need.Chunks, func(a, b batch.CarryChunk) int { return cmp.Compare(a.Offset, b.Offset) })
--- a/ledger/manager.go
+++ b/ledger/manager.go
@@ -29,7 +29,7 @@
 	owners        map[uint32]*runningOwner
 	proposedSince map[uint32]time.Time // when this node became the proposed owner
 	leaving       bool
-	onOwner       func(ctx context.Context, o *Owner)
+	onStart       func(ctx context.Context, o *Owner)
 }
 
 // runningOwner is an Owner with the function that stops it.
@@ -38,16 +38,16 @@
 	cancel context.CancelFunc
 }
 
-// NewManager returns a Manager. It calls onOwner in a new goroutine for every
+// NewManager returns a Manager. It calls onStart in a new goroutine for every
 // Owner that it starts, with a context that ends when the Owner stops.
-func NewManager(cfg Config, onOwner func(ctx context.Context, o *Owner)) *Manager {
+func NewManager(cfg Config, onStart func(ctx context.Context, o *Owner)) *Manager {
 	cfg = cfg.withDefaults()
 	return &Manager{
 		cfg:           cfg,
 		log:           cfg.Logger.Part("ledger"),
 		owners:        make(map[uint32]*runningOwner),
 		proposedSince: make(map[uint32]time.Time),
-		onOwner:       onOwner,
+		onStart:       onStart,
 	}
 }
 
@@ -168,7 +168,7 @@
 			m.log.Error("partition stopped", logging.F("partition", partition), logging.F("error", err.Error()))
 		}
 	}()
-	go m.onOwner(ctx, o)
+	go m.onStart(ctx, o)
 }
 
 // mayTakeOver reports whether this node may take a partition over from its
--- a/ledger/ops.go
+++ b/ledger/ops.go
@@ -58,7 +58,7 @@
 func (o *Owner) Ready() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return !o.closed && o.part != nil && o.owned()
+	return !o.closed && o.partition != nil && o.owned()
 }
 
 func (o *Owner) putChunk(ctx context.Context, c *wire.PutChunk) (*wire.PeerReply, error) {
@@ -96,7 +96,7 @@
 	id := fileID(c.GetFile())
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	f := o.part.File(id)
+	f := o.partition.File(id)
 	if f == nil || f.Workspace != c.GetWorkspace() {
 		return false
 	}
@@ -110,7 +110,7 @@
 	id := fileID(file)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	f := o.part.File(id)
+	f := o.partition.File(id)
 	return f != nil && f.Workspace == workspace && f.Sealed
 }
 
@@ -156,7 +156,7 @@
 func (o *Owner) job(id batch.JobID) *batch.Job {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.part.Job(id)
+	return o.partition.Job(id)
 }
 
 // jobReply returns a reply with the job's current state.
@@ -199,7 +199,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	reply := &wire.PeerReply{}
-	o.part.Jobs(func(j *batch.Job) bool {
+	o.partition.Jobs(func(j *batch.Job) bool {
 		if j.Commit.GetWorkspace() == l.GetWorkspace() {
 			reply.Jobs = append(reply.Jobs, j.Info(o.number))
 		}
@@ -404,7 +404,7 @@
 		return nil, apierr.New(apierr.CodeNotFound, "no such file")
 	}
 	o.mu.Lock()
-	f := o.part.File(fileID(r.GetFile()))
+	f := o.partition.File(fileID(r.GetFile()))
 	if f == nil {
 		o.mu.Unlock()
 		return nil, apierr.New(apierr.CodeNotFound, "no such file")
@@ -454,5 +454,5 @@
 func (o *Owner) recordedKey(id batch.KeyID) *wire.RecordKey {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.part.Key(id)
+	return o.partition.Key(id)
 }
--- a/ledger/owner.go
+++ b/ledger/owner.go
@@ -130,8 +130,8 @@
 	mayTakeOver func(holder string) bool
 
 	mu              sync.Mutex
-	part            *batch.Partition
-	disp            *batch.Dispatcher
+	partition       *batch.Partition
+	dispatcher      *batch.Dispatcher
 	feeds           map[string]*feed     // by agent name
 	disconnectedAt  map[string]time.Time // by agent name, until the agent is lost
 	cancels         map[batch.JobID]*cancelWait
@@ -251,17 +251,17 @@
 func (o *Owner) apply(rec infra.Record) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, ev := range o.part.Apply(rec) {
-		if o.disp == nil {
+	for _, ev := range o.partition.Apply(rec) {
+		if o.dispatcher == nil {
 			continue
 		}
 		switch ev.Kind {
 		case batch.JobAccepted:
-			o.disp.Add(ev.Job)
+			o.dispatcher.Add(ev.Job)
 		case batch.ItemsDone:
-			o.disp.Done(ev.Job.ID, ev.Indexes)
+			o.dispatcher.Done(ev.Job.ID, ev.Indexes)
 		case batch.JobEnded:
-			o.disp.Drop(ev.Job.ID)
+			o.dispatcher.Drop(ev.Job.ID)
 		}
 	}
 }
@@ -306,7 +306,7 @@
 func (o *Owner) wakeFeeds() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.disp.Backlog() == 0 {
+	if o.dispatcher.Backlog() == 0 {
 		return
 	}
 	for _, f := range o.feeds {
--- a/ledger/owner_test.go
+++ b/ledger/owner_test.go
@@ -73,25 +73,25 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		job := make([]byte, 16)
-		put := func(req *wire.PeerRequest) {
+		send := func(req *wire.PeerRequest) {
 			if f := o.Serve(ctx, req).GetFailure(); f != nil {
 				t.Fatal(f)
 			}
 		}
-		const each = 100
-		for n := range items / each {
+		const perChunk = 100
+		for n := range items / perChunk {
 			var lines [][]byte
-			for i := range each {
-				line, err := json.Marshal(map[string]any{"custom_id": fmt.Sprint("item-", n*each+i), "body": map[string]any{"model": "m", "prompt": "p"}})
+			for i := range perChunk {
+				line, err := json.Marshal(map[string]any{"custom_id": fmt.Sprint("item-", n*perChunk+i), "body": map[string]any{"model": "m", "prompt": "p"}})
 				if err != nil {
 					t.Fatal(err)
 				}
 				lines = append(lines, line)
 			}
-			put(&wire.PeerRequest{Kind: &wire.PeerRequest_PutChunk{PutChunk: &wire.PutChunk{Workspace: "w", File: job, Number: uint32(n), Lines: lines}}})
+			send(&wire.PeerRequest{Kind: &wire.PeerRequest_PutChunk{PutChunk: &wire.PutChunk{Workspace: "w", File: job, Number: uint32(n), Lines: lines}}})
 		}
-		put(&wire.PeerRequest{Kind: &wire.PeerRequest_SealFile{SealFile: &wire.SealFile{Workspace: "w", File: job, Chunks: items / each, Lines: items}}})
-		put(&wire.PeerRequest{Kind: &wire.PeerRequest_CommitJob{CommitJob: &wire.CommitJob{Job: job, Workspace: "w", File: job, Model: "m"}}})
+		send(&wire.PeerRequest{Kind: &wire.PeerRequest_SealFile{SealFile: &wire.SealFile{Workspace: "w", File: job, Chunks: items / perChunk, Lines: items}}})
+		send(&wire.PeerRequest{Kind: &wire.PeerRequest_CommitJob{CommitJob: &wire.CommitJob{Job: job, Workspace: "w", File: job, Model: "m"}}})
 		go o.Attach(ctx, "agent", newFakeAgent())
 		time.Sleep(time.Minute)
 		info := o.Serve(ctx, &wire.PeerRequest{Kind: &wire.PeerRequest_GetJob{GetJob: &wire.GetJob{Workspace: "w", Job: job}}}).GetJob()
--- a/ledger/recover.go
+++ b/ledger/recover.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	o.mu.Lock()
-	o.part = part
+	o.partition = part
 	o.mu.Unlock()
 	o.stream = oplog.NewStream(o.cfg.Log, StreamName(o.number), o.inc, part.Next(), o.apply)
 	return o.stream.Catchup(ctx)
@@ -133,7 +133,7 @@
 	until := time.Now().Add(awaitHandoverTimeout)
 	for {
 		o.mu.Lock()
-		holder := o.part.Owner()
+		holder := o.partition.Owner()
 		draining := o.draining
 		o.mu.Unlock()
 		if o.mayTakeOver == nil || o.mayTakeOver(holder) {
@@ -153,8 +153,8 @@
 // partition over first. It then rebuilds the dispatcher.
 func (o *Owner) takeOver(ctx context.Context) error {
 	o.mu.Lock()
-	epoch := o.part.Epoch() + 1
-	previous := o.part.Owner()
+	epoch := o.partition.Epoch() + 1
+	previous := o.partition.Owner()
 	o.mu.Unlock()
 	takeover := &wire.Entry{Kind: &wire.Entry_Takeover{Takeover: &wire.Takeover{
 		Owner:       o.cfg.Node,
@@ -165,7 +165,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !o.part.OwnedBy(o.inc) || o.part.Epoch() != epoch {
+	if !o.partition.OwnedBy(o.inc) || o.partition.Epoch() != epoch {
 		return errSuperseded
 	}
 	o.epoch = epoch
@@ -174,15 +174,15 @@
 	if previous != "" {
 		o.readsAllowedAt = o.takenOverAt.Add(readLeaseDuration)
 	}
-	o.snapshotOffset = o.part.Next()
+	o.snapshotOffset = o.partition.Next()
 	// Makes the first round of the writer write a snapshot and carry forward old
 	// records. No one has done so since the previous owner stopped, and records
 	// near the end of the retention cannot wait for another interval.
 	o.snapshotTime = time.Time{}
-	o.disp = batch.NewDispatcher(o.cfg.Limits)
-	o.part.Jobs(func(j *batch.Job) bool {
+	o.dispatcher = batch.NewDispatcher(o.cfg.Limits)
+	o.partition.Jobs(func(j *batch.Job) bool {
 		if j.State() == batch.JobRunning {
-			o.disp.Add(j)
+			o.dispatcher.Add(j)
 		}
 		return true
 	})
