--- a/wire/codec.go
+++ b/wire/codec.go
@@ -1,5 +1,5 @@
 // Package wire holds the protobuf messages that cross process boundaries and
-// the length-delimited codec used on every stream between our processes.
+// the length-delimited codec of the streams between processes.
 package wire
 
 import (
@@ -12,32 +12,34 @@
 
 //go:generate protoc --go_out=. --go_opt=paths=source_relative wire.proto
 
-// MaxMessageBytes bounds one message on a stream. A larger length prefix is
-// refused before any buffer is allocated for it.
+// MaxMessageBytes is the largest size of one message on a stream. A larger length
+// prefix is rejected before a buffer is allocated for it.
 const MaxMessageBytes = 16 << 20
 
-// readBufferBytes is the buffer of one stream reader. Streams are many, so it
-// stays small; a token frame takes about 40 bytes.
+// readBufferBytes is the buffer size of one Reader. It is small because a process
+// has many streams; a frame with one token takes about 40 bytes.
 const readBufferBytes = 2048
 
-// Reader reads length-delimited messages from one stream.
+// Reader reads length-delimited messages from one stream. It is not safe for
+// concurrent use.
 type Reader struct {
 	buf *bufio.Reader
 }
 
-// NewReader returns a Reader on r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{buf: bufio.NewReaderSize(r, readBufferBytes)}
 }
 
-// Read reads the next message into m.
+// Read reads the next message into m. It fails for a message larger than
+// MaxMessageBytes.
 func (r *Reader) Read(m proto.Message) error {
 	opts := protodelim.UnmarshalOptions{MaxSize: MaxMessageBytes}
 	return opts.UnmarshalFrom(r.buf, m)
 }
 
-// Write writes m to w in one call, so that concurrent yamux streams are not
-// woken for half a message.
+// Write writes m to w in a single call, so that the reader of a yamux stream is
+// not woken for a partial message.
 func Write(w io.Writer, m proto.Message) error {
 	buf := make([]byte, 0, proto.Size(m)+lengthPrefixBytes)
 	sink := sliceWriter{buf: buf}
@@ -48,8 +50,8 @@
 	return err
 }
 
-// WriteAll writes several messages to w in one call. A message for itself costs
-// yamux two writes on the connection.
+// WriteAll writes several messages to w in a single call, because yamux makes two
+// writes on the connection for each call.
 func WriteAll[M proto.Message](w io.Writer, ms []M) error {
 	size := 0
 	for _, m := range ms {
@@ -65,9 +67,10 @@
 	return err
 }
 
-// lengthPrefixBytes is the largest length prefix of a message within limits.
+// lengthPrefixBytes is the largest size of a length prefix: a varint of 32 bits.
 const lengthPrefixBytes = 5
 
+// sliceWriter is an io.Writer that appends to buf and does not fail.
 type sliceWriter struct {
 	buf []byte
 }
