--- a/standin/engine.go
+++ b/standin/engine.go
@@ -13,38 +13,38 @@
 	"pumiceford/internal/defaults"
 )
 
-// EngineSettings shape an Engine.
+// EngineSettings configure an Engine. Zero selects the default.
 type EngineSettings struct {
 	Models          []string
-	StepBase        time.Duration // time of a step with nothing in it, default 2 ms
-	StepPerSeq      time.Duration // added for each running sequence, default 30 us
-	PrefillPerToken time.Duration // added for each prompt token not in the cache, default 8 us
-	MaxRunning      int           // sequences in one step, default 32
-	KVBlocks        int           // blocks of KVBlockTokens, default 4096
-	CacheBlocks     int           // blocks of prompt prefixes kept, default 1024
-	LoadLag         time.Duration // age of load reports, default 500 ms
-	EventLag        time.Duration // age of cache events, default 200 ms
-	EventLoss       float64       // share of cache events that are lost
-	Seed            uint64        // of what is lost
-	CheckFence      bool          // refuse orders with an old fencing number
-	RestartDelay    time.Duration // time down after a crash, default 500 ms
+	StepBase        time.Duration // time of an empty step, default 2 ms
+	StepPerSeq      time.Duration // added to a step for each running sequence, default 30 us
+	PrefillPerToken time.Duration // added to a step for each prompt token that is not cached, default 8 us
+	MaxRunning      int           // most sequences in one step, default 32
+	KVBlocks        int           // KV blocks of KVBlockTokens tokens, default 4096
+	CacheBlocks     int           // cached prompt prefix blocks, default 1024
+	LoadLag         time.Duration // delay of load reports, default 500 ms
+	EventLag        time.Duration // delay of cache events, default 200 ms
+	EventLoss       float64       // fraction of cache events that are lost, 0 to 1
+	Seed            uint64        // of the random choice of lost cache events
+	CheckFence      bool          // refuse orders with an outdated fencing number
+	RestartDelay    time.Duration // unavailability after a crash, default 500 ms
 }
 
-// KVBlockTokens is how many tokens one KV block holds.
+// KVBlockTokens is the number of tokens in one KV block.
 const KVBlockTokens = 16
 
-// charsPerToken is how long the stand-in thinks a prompt token is.
+// charsPerToken is the assumed length of a prompt token in bytes.
 const charsPerToken = 4
 
-// Marks in a prompt that make the stand-in misbehave.
+// Markers in a prompt that inject faults.
 const (
-	MarkPoison = "[[poison]]" // always rejected
-	MarkFlaky  = "[[flaky]]"  // fails twice, then works
-	MarkKill   = "[[kill]]"   // crashes the engine at its second token
+	MarkPoison = "[[poison]]" // the request is always rejected
+	MarkFlaky  = "[[flaky]]"  // the request fails twice, then succeeds
+	MarkKill   = "[[kill]]"   // the engine crashes at the request's second token
 )
 
-// flakyFailures is how often a MarkFlaky prompt fails.
-const flakyFailures = 2
+// maxFlakyFailures is how often a MarkFlaky prompt fails before it succeeds.
+const maxFlakyFailures = 2
 
 func (s EngineSettings) withDefaults() EngineSettings {
 	defaults.Set(&s.StepBase, 2*time.Millisecond)
@@ -59,53 +59,54 @@
 	return s
 }
 
-// Engine is a stand-in for a model engine: continuous batching, admission in
-// arrival order, no priorities.
+// Engine simulates a model engine with continuous batching. It admits requests in
+// arrival order and has no priorities.
 type Engine struct {
 	set EngineSettings
 
-	mu      sync.Mutex
-	wake    chan struct{}
-	queue   []*sequence
-	running []*sequence
-	freeKV  int
-	cache   *prefixCache
-	feed    *cacheFeed
-	models  map[string]bool
-	fence   uint64
-	flaky   map[string]int
-	runs    map[string]int // request id -> executions begun
-	downTil time.Time
-	report  engine.Load
-	lag     []engine.Load
-	stats   EngineStats
-	orders  []engine.Order
+	mu           sync.Mutex
+	wake         chan struct{}
+	queue        []*sequence
+	running      []*sequence
+	freeKV       int
+	cache        *prefixCache
+	feed         *cacheFeed
+	models       map[string]bool
+	maxFence     uint64
+	flakyCount   map[string]int
+	runs         map[string]int // accepted calls of Generate by request ID
+	downUntil    time.Time
+	reportedLoad engine.Load
+	pendingLoads []engine.Load
+	stats        EngineStats
+	orders       []engine.Order
 }
 
-// EngineStats are exact counts since the start.
+// EngineStats are exact totals since the start of the engine. The field names are
+// part of the reply to GET /stats.
 type EngineStats struct {
 	Steps        uint64
 	Tokens       uint64
 	Prefilled    uint64 // prompt tokens computed
-	CacheHits    uint64 // prompt tokens found in the prefix cache
+	CacheHits    uint64 // prompt tokens served from the prefix cache
 	Admitted     uint64
 	Cancelled    uint64
 	Crashes      uint64
 	MaxQueued    int
 	BusyTime     time.Duration
-	SeatTime     time.Duration // sum over steps of running sequences times step time
-	WastedTokens uint64        // tokens of cancelled sequences
+	SeatTime     time.Duration // sum over all steps of the step time times the running sequences
+	WastedTokens uint64        // tokens generated for cancelled sequences
 }
 
 type sequence struct {
-	req      engine.Request
-	made     uint32
-	blocks   int
-	out      chan chunkOrErr
-	dead     bool // cancelled, dropped at the next step
-	prompt   int
-	prefill  bool // prompt not computed yet
-	exported bool // its state was taken away, so nothing of it is wasted
+	req          engine.Request
+	generated    uint32
+	blocks       int
+	out          chan chunkOrErr
+	cancelled    bool // removed at the next step
+	promptTokens int
+	needsPrefill bool // the prompt is not computed yet
+	exported     bool // the state was exported, so its tokens do not count as wasted
 }
 
 type chunkOrErr struct {
@@ -113,19 +114,19 @@
 	err   error
 }
 
-// NewEngine starts an engine that runs until ctx ends.
+// NewEngine starts an engine that runs until ctx is cancelled.
 func NewEngine(ctx context.Context, set EngineSettings) *Engine {
 	set = set.withDefaults()
 	e := &Engine{
-		set:    set,
-		wake:   make(chan struct{}, 1),
-		freeKV: set.KVBlocks,
-		feed:   newCacheFeed(set.EventLag, set.EventLoss, set.Seed),
-		models: make(map[string]bool),
-		flaky:  make(map[string]int),
-		runs:   make(map[string]int),
+		set:        set,
+		wake:       make(chan struct{}, 1),
+		freeKV:     set.KVBlocks,
+		feed:       newCacheFeed(set.EventLag, set.EventLoss, set.Seed),
+		models:     make(map[string]bool),
+		flakyCount: make(map[string]int),
+		runs:       make(map[string]int),
 	}
-	e.cache = newPrefixCache(set.CacheBlocks, e.feed.note)
+	e.cache = newPrefixCache(set.CacheBlocks, e.feed.record)
 	for _, m := range set.Models {
 		e.models[m] = true
 	}
@@ -133,7 +134,7 @@
 	return e
 }
 
-// PromptTokens is the stand-in's token count of a prompt.
+// PromptTokens returns the simulated token count of a prompt.
 func PromptTokens(prompt string) int {
 	return len(prompt)/charsPerToken + 1
 }
@@ -141,16 +142,16 @@
 var words = strings.Fields("renewal rating medical logbook hours night cross country instrument check " +
 	"valid expiry form clerk counter school seam hem lace bodice pin fitting gown stock slot sleeve train veil")
 
-// TokenText is the text of token n of the answer to a prompt. It depends on
-// nothing else, so that a test can compare every byte and a resumed answer
-// continues the first one.
+// TokenText returns the text of token n of the answer to a prompt. It depends only
+// on the prompt and n, so tests can compare answers byte by byte and a resumed
+// answer continues the interrupted one.
 func TokenText(prompt string, n uint32) string {
 	h := xxhash.Sum64String(prompt) + uint64(n)*0x9e3779b97f4a7c15
 	h ^= h >> 29
 	return words[h%uint64(len(words))] + strconv.Itoa(int(n)) + " "
 }
 
-// AnswerText is the whole answer of max tokens to a prompt.
+// AnswerText returns the complete answer to a prompt for a number of tokens.
 func AnswerText(prompt string, tokens uint32) string {
 	var b strings.Builder
 	for n := uint32(0); n < tokens; n++ {
@@ -163,7 +164,7 @@
 func (e *Engine) Generate(ctx context.Context, req engine.Request) (engine.Stream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Now().Before(e.downTil) {
+	if time.Now().Before(e.downUntil) {
 		return nil, engine.ErrUnavailable
 	}
 	if !e.models[req.Model] {
@@ -172,8 +173,8 @@
 	if strings.Contains(req.Prompt, MarkPoison) {
 		return nil, engine.ErrRejected
 	}
-	if strings.Contains(req.Prompt, MarkFlaky) && e.flaky[req.Prompt] < flakyFailures {
-		e.flaky[req.Prompt]++
+	if strings.Contains(req.Prompt, MarkFlaky) && e.flakyCount[req.Prompt] < maxFlakyFailures {
+		e.flakyCount[req.Prompt]++
 		return nil, engine.ErrBusy
 	}
 	prompt := PromptTokens(req.Prompt)
@@ -182,21 +183,21 @@
 		return nil, engine.ErrRejected
 	}
 	s := &sequence{
-		req:     req,
-		made:    req.ResumeFrom,
-		blocks:  blocks,
-		out:     make(chan chunkOrErr, req.MaxTokens+1),
-		prompt:  prompt,
-		prefill: true,
+		req:          req,
+		generated:    req.ResumeFrom,
+		blocks:       blocks,
+		out:          make(chan chunkOrErr, req.MaxTokens+1),
+		promptTokens: prompt,
+		needsPrefill: true,
 	}
 	e.runs[req.ID]++
 	e.queue = append(e.queue, s)
 	e.stats.MaxQueued = max(e.stats.MaxQueued, len(e.queue))
-	e.kick()
+	e.wakeLoop()
 	return &engineStream{e: e, s: s}, nil
 }
 
-func (e *Engine) kick() {
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -222,12 +223,12 @@
 func (st *engineStream) Cancel() {
 	st.e.mu.Lock()
 	defer st.e.mu.Unlock()
-	st.s.dead = true
+	st.s.cancelled = true
 }
 
 func (e *Engine) loop(ctx context.Context) {
 	for ctx.Err() == nil {
-		d, busy := e.begin()
+		d, busy := e.beginStep()
 		if !busy {
 			select {
 			case <-ctx.Done():
@@ -236,15 +237,16 @@
 			continue
 		}
 		time.Sleep(d)
-		e.finish(d)
+		e.finishStep(d)
 	}
 }
 
-// begin admits what fits, in arrival order, and returns the step's time.
-func (e *Engine) begin() (time.Duration, bool) {
+// beginStep admits queued sequences in arrival order while seats and KV blocks last.
+// It returns the duration of the step, and false if nothing runs.
+func (e *Engine) beginStep() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dropDead()
+	e.dropCancelled()
 	for len(e.queue) > 0 && len(e.running) < e.set.MaxRunning && e.queue[0].blocks <= e.freeKV {
 		s := e.queue[0]
 		e.queue = e.queue[1:]
@@ -253,36 +255,37 @@
 		e.stats.Admitted++
 	}
 	if len(e.running) == 0 {
-		e.noteLoad(0)
+		e.recordLoad(0)
 		return 0, false
 	}
 	d := e.set.StepBase + time.Duration(len(e.running))*e.set.StepPerSeq
 	for _, s := range e.running {
-		if s.prefill {
+		if s.needsPrefill {
 			d += time.Duration(e.prefill(s)) * e.set.PrefillPerToken
 		}
 	}
 	return d, true
 }
 
-// prefill returns how many prompt tokens must be computed.
+// prefill returns how many tokens must be computed for a sequence: those of its
+// prompt that are not cached and those already delivered elsewhere.
 func (e *Engine) prefill(s *sequence) int {
-	s.prefill = false
-	hit := min(e.cache.touch(s.req.Model, s.req.Prompt)*KVBlockTokens, s.prompt)
+	s.needsPrefill = false
+	hit := min(e.cache.lookup(s.req.Model, s.req.Prompt)*KVBlockTokens, s.promptTokens)
 	e.stats.CacheHits += uint64(hit)
-	miss := s.prompt - hit + int(s.req.ResumeFrom)
+	miss := s.promptTokens - hit + int(s.req.ResumeFrom)
 	e.stats.Prefilled += uint64(miss)
 	return miss
 }
 
-func (e *Engine) dropDead() {
+func (e *Engine) dropCancelled() {
 	kept := e.running[:0]
 	for _, s := range e.running {
-		if s.dead {
+		if s.cancelled {
 			e.freeKV += s.blocks
 			e.stats.Cancelled++
 			if !s.exported {
-				e.stats.WastedTokens += uint64(s.made - s.req.ResumeFrom)
+				e.stats.WastedTokens += uint64(s.generated - s.req.ResumeFrom)
 			}
 			s.out <- chunkOrErr{err: context.Canceled}
 			continue
@@ -292,7 +295,7 @@
 	e.running = kept
 	waiting := e.queue[:0]
 	for _, s := range e.queue {
-		if s.dead {
+		if s.cancelled {
 			s.out <- chunkOrErr{err: context.Canceled}
 			continue
 		}
@@ -301,22 +304,23 @@
 	e.queue = waiting
 }
 
-// finish gives every running sequence its token.
-func (e *Engine) finish(d time.Duration) {
+// finishStep emits one token for every running sequence and records a step that
+// took d.
+func (e *Engine) finishStep(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stats.Steps++
 	e.stats.BusyTime += d
 	e.stats.SeatTime += d * time.Duration(len(e.running))
 	for _, s := range e.running {
-		if strings.Contains(s.req.Prompt, MarkKill) && s.made >= 1 {
+		if strings.Contains(s.req.Prompt, MarkKill) && s.generated >= 1 {
 			e.crash()
 			return
 		}
 	}
 	kept := e.running[:0]
 	for _, s := range e.running {
-		if s.dead {
+		if s.cancelled {
 			kept = append(kept, s)
 			continue
 		}
@@ -327,27 +331,28 @@
 		e.freeKV += s.blocks
 	}
 	e.running = kept
-	e.noteLoad(d)
+	e.recordLoad(d)
 }
 
-// emit gives one token and reports whether the sequence is finished.
+// emit sends one token and reports whether the sequence is finished.
 func (e *Engine) emit(s *sequence) bool {
-	if s.made >= s.req.MaxTokens {
-		s.out <- chunkOrErr{chunk: engine.Chunk{Finish: "length", PromptTokens: uint32(s.prompt)}}
+	if s.generated >= s.req.MaxTokens {
+		s.out <- chunkOrErr{chunk: engine.Chunk{Finish: "length", PromptTokens: uint32(s.promptTokens)}}
 		return true
 	}
-	c := engine.Chunk{Text: TokenText(s.req.Prompt, s.made), Tokens: 1}
-	s.made++
+	c := engine.Chunk{Text: TokenText(s.req.Prompt, s.generated), Tokens: 1}
+	s.generated++
 	e.stats.Tokens++
-	if s.made >= s.req.MaxTokens {
+	if s.generated >= s.req.MaxTokens {
 		c.Finish = "length"
-		c.PromptTokens = uint32(s.prompt)
+		c.PromptTokens = uint32(s.promptTokens)
 	}
 	s.out <- chunkOrErr{chunk: c}
 	return c.Finish != ""
 }
 
-// Crash loses everything that the engine holds.
+// Crash drops all requests and the prefix cache. The engine is then unavailable for
+// the restart delay.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -356,21 +361,21 @@
 
 func (e *Engine) crash() {
 	for _, s := range append(e.running, e.queue...) {
-		if !s.dead {
+		if !s.cancelled {
 			s.out <- chunkOrErr{err: engine.ErrLost}
 		}
 	}
 	e.running = nil
 	e.queue = nil
 	e.freeKV = e.set.KVBlocks
-	e.cache = newPrefixCache(e.set.CacheBlocks, e.feed.note)
+	e.cache = newPrefixCache(e.set.CacheBlocks, e.feed.record)
 	e.stats.Crashes++
-	e.downTil = time.Now().Add(e.set.RestartDelay)
+	e.downUntil = time.Now().Add(e.set.RestartDelay)
 }
 
-func (e *Engine) noteLoad(step time.Duration) {
+func (e *Engine) recordLoad(step time.Duration) {
 	now := time.Now()
-	e.lag = append(e.lag, engine.Load{
+	e.pendingLoads = append(e.pendingLoads, engine.Load{
 		Running:  len(e.running),
 		Queued:   len(e.queue),
 		FreeKV:   e.freeKV,
@@ -378,9 +383,9 @@
 		StepTime: step,
 		AsOf:     now,
 	})
-	for len(e.lag) > 0 && now.Sub(e.lag[0].AsOf) >= e.set.LoadLag {
-		e.report = e.lag[0]
-		e.lag = e.lag[1:]
+	for len(e.pendingLoads) > 0 && now.Sub(e.pendingLoads[0].AsOf) >= e.set.LoadLag {
+		e.reportedLoad = e.pendingLoads[0]
+		e.pendingLoads = e.pendingLoads[1:]
 	}
 }
 
@@ -388,17 +393,17 @@
 func (e *Engine) Load(context.Context) (engine.Load, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.report, nil
+	return e.reportedLoad, nil
 }
 
 // Order implements engine.Engine.
 func (e *Engine) Order(_ context.Context, o engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.set.CheckFence && o.Fence < e.fence {
+	if e.set.CheckFence && o.Fence < e.maxFence {
 		return engine.ErrStaleFence
 	}
-	e.fence = max(e.fence, o.Fence)
+	e.maxFence = max(e.maxFence, o.Fence)
 	e.orders = append(e.orders, o)
 	switch o.Kind {
 	case engine.OrderLoad:
@@ -409,7 +414,7 @@
 	return nil
 }
 
-// Orders returns the orders that were carried out.
+// Orders returns the orders that were executed.
 func (e *Engine) Orders() []engine.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -427,14 +432,14 @@
 	return out, nil
 }
 
-// Runs returns how often a request id was begun.
+// Runs returns how often a request ID was accepted for execution.
 func (e *Engine) Runs(id string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[id]
 }
 
-// AllRuns returns how often each request id was begun.
+// AllRuns returns how often each request ID was accepted for execution.
 func (e *Engine) AllRuns() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -445,7 +450,7 @@
 	return out
 }
 
-// Stats returns the counts.
+// Stats returns the totals since the start.
 func (e *Engine) Stats() EngineStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -11,7 +11,7 @@
 	"pumiceford/engine"
 )
 
-// read takes chunks until the stream ends and returns their text.
+// read returns the text of all chunks until the stream ends.
 func read(st engine.Stream) (string, error) {
 	var b strings.Builder
 	for {
@@ -26,7 +26,7 @@
 	}
 }
 
-func inBubble(t *testing.T, set EngineSettings, f func(t *testing.T, e *Engine)) {
+func withEngine(t *testing.T, set EngineSettings, f func(t *testing.T, e *Engine)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -36,10 +36,10 @@
 	})
 }
 
-// The engine admits in arrival order and knows no priority: what comes late waits
-// behind what came first.
+// The engine admits requests in arrival order without priorities: a later request
+// waits for earlier ones.
 func TestEngineAdmitsInArrivalOrder(t *testing.T) {
-	inBubble(t, EngineSettings{MaxRunning: 1}, func(t *testing.T, e *Engine) {
+	withEngine(t, EngineSettings{MaxRunning: 1}, func(t *testing.T, e *Engine) {
 		first, err := e.Generate(context.Background(), engine.Request{ID: "1", Model: "m", Prompt: "a", MaxTokens: 100})
 		if err != nil {
 			t.Fatal(err)
@@ -53,18 +53,18 @@
 			t.Fatal(err)
 		}
 		if waited := time.Since(began); waited < 100*2*time.Millisecond {
-			t.Fatalf("the second request waited only %s", waited)
+			t.Fatalf("the second request waited %s, want at least 200 ms", waited)
 		}
 		if got, err := read(first); err != nil || got != AnswerText("a", 100) {
-			t.Fatalf("%q %v", got, err)
+			t.Fatalf("first answer: got %q, error %v", got, err)
 		}
 	})
 }
 
-// An exported sequence goes on at another engine where it was, without its prompt
-// being computed again.
-func TestEngineMovesKV(t *testing.T) {
-	inBubble(t, EngineSettings{}, func(t *testing.T, e *Engine) {
+// An exported sequence continues on another engine at the same token, and its prompt
+// is not computed again.
+func TestExportedSequenceContinuesElsewhere(t *testing.T) {
+	withEngine(t, EngineSettings{}, func(t *testing.T, e *Engine) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		other := NewEngine(ctx, EngineSettings{Models: []string{"m"}})
@@ -75,12 +75,12 @@
 		}
 		time.Sleep(40 * time.Millisecond)
 		kv, ok := e.ExportKV("1")
-		if !ok || kv.Made == 0 {
-			t.Fatalf("export: %t %+v", ok, kv)
+		if !ok || kv.Generated == 0 {
+			t.Fatalf("export: ok %t, state %+v", ok, kv)
 		}
 		head, err := read(st)
 		if !errors.Is(err, context.Canceled) {
-			t.Fatalf("the exported stream ended with %v", err)
+			t.Fatalf("the exported stream ended with %v, want context.Canceled", err)
 		}
 		rest, err := other.ImportKV(ctx, kv)
 		if err != nil {
@@ -88,17 +88,17 @@
 		}
 		tail, err := read(rest)
 		if err != nil || head+tail != AnswerText(prompt, 50) {
-			t.Fatalf("%q %v", head+tail, err)
+			t.Fatalf("answer of both engines: got %q, error %v", head+tail, err)
 		}
 		if p := other.Stats().Prefilled; p != 0 {
-			t.Fatalf("%d prompt tokens computed again", p)
+			t.Fatalf("%d prompt tokens were computed again, want none", p)
 		}
 	})
 }
 
-// Cache events come late and with gaps.
-func TestEngineTellsCacheEventsLateAndWithGaps(t *testing.T) {
-	inBubble(t, EngineSettings{EventLag: time.Second, EventLoss: 0.5, Seed: 1}, func(t *testing.T, e *Engine) {
+// Cache events arrive after the configured delay, and some are lost.
+func TestCacheEventsAreDelayedAndLost(t *testing.T) {
+	withEngine(t, EngineSettings{EventLag: time.Second, EventLoss: 0.5, Seed: 1}, func(t *testing.T, e *Engine) {
 		st, err := e.Generate(context.Background(), engine.Request{ID: "1", Model: "m", Prompt: strings.Repeat("x", 64*20), MaxTokens: 1})
 		if err != nil {
 			t.Fatal(err)
@@ -107,27 +107,27 @@
 			t.Fatal(err)
 		}
 		if n := len(e.CacheEvents(0)); n != 0 {
-			t.Fatalf("%d events at once", n)
+			t.Fatalf("got %d events before the delay, want none", n)
 		}
 		time.Sleep(2 * time.Second)
 		if n := len(e.CacheEvents(0)); n == 0 || n >= 20 {
-			t.Fatalf("%d of 20 events told", n)
+			t.Fatalf("got %d of 20 events, want some lost but not all", n)
 		}
 	})
 }
 
-// One kind of engine refuses an order with an old fencing number, the other
-// carries it out.
-func TestEngineFences(t *testing.T) {
+// An engine that checks fences refuses an order with an outdated fencing number; one
+// that does not check executes it.
+func TestEngineChecksFence(t *testing.T) {
 	for _, check := range []bool{true, false} {
-		inBubble(t, EngineSettings{CheckFence: check}, func(t *testing.T, e *Engine) {
+		withEngine(t, EngineSettings{CheckFence: check}, func(t *testing.T, e *Engine) {
 			ctx := context.Background()
 			if err := e.Order(ctx, engine.Order{Kind: engine.OrderLoad, Model: "n", Fence: 7}); err != nil {
 				t.Fatal(err)
 			}
 			err := e.Order(ctx, engine.Order{Kind: engine.OrderUnload, Model: "n", Fence: 3})
 			if errors.Is(err, engine.ErrStaleFence) != check {
-				t.Fatalf("check %t: %v", check, err)
+				t.Fatalf("fence check %t: outdated order returned %v", check, err)
 			}
 		})
 	}
--- a/standin/hosts.go
+++ b/standin/hosts.go
@@ -11,24 +11,24 @@
 	"pumiceford/internal/wait"
 )
 
-// HostList is a stand-in for the platform's lagging host list.
+// HostList simulates the platform's host list, which shows changes after a delay.
 type HostList struct {
 	lag time.Duration
 
-	mu   sync.Mutex
-	now  []infra.Host
-	past []hostsAt
-	down bool
+	mu      sync.Mutex
+	current []infra.Host
+	history []hostsVersion
+	down    bool
 }
 
-type hostsAt struct {
+type hostsVersion struct {
 	at    time.Time
 	hosts []infra.Host
 }
 
-// NewHostList returns a list that shows changes lag later.
+// NewHostList returns a list of hosts that shows changes after lag.
 func NewHostList(lag time.Duration, hosts ...infra.Host) *HostList {
-	return &HostList{lag: lag, now: hosts, past: []hostsAt{{hosts: hosts}}}
+	return &HostList{lag: lag, current: hosts, history: []hostsVersion{{hosts: hosts}}}
 }
 
 // Put adds or replaces a host.
@@ -36,12 +36,12 @@
 	h.change(host.Name, &host)
 }
 
-// Remove takes a host off the list.
+// Remove removes a host from the list.
 func (h *HostList) Remove(name string) {
 	h.change(name, nil)
 }
 
-// SetDown switches an outage on or off.
+// SetDown starts or ends an outage of the list.
 func (h *HostList) SetDown(down bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,7 +52,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var next []infra.Host
-	for _, old := range h.now {
+	for _, old := range h.current {
 		if old.Name != name {
 			next = append(next, old)
 		}
@@ -60,8 +60,8 @@
 	if host != nil {
 		next = append(next, *host)
 	}
-	h.now = next
-	h.past = append(h.past, hostsAt{at: time.Now(), hosts: next})
+	h.current = next
+	h.history = append(h.history, hostsVersion{at: time.Now(), hosts: next})
 }
 
 // Hosts implements infra.HostList.
@@ -71,19 +71,19 @@
 	if h.down {
 		return nil, infra.ErrUnavailable
 	}
-	for len(h.past) > 1 && time.Since(h.past[1].at) >= h.lag {
-		h.past = h.past[1:]
+	for len(h.history) > 1 && time.Since(h.history[1].at) >= h.lag {
+		h.history = h.history[1:]
 	}
-	return append([]infra.Host(nil), h.past[0].hosts...), nil
+	return append([]infra.Host(nil), h.history[0].hosts...), nil
 }
 
-// Weights is a stand-in for the platform's rate-limited weight store.
+// Weights simulates the platform's rate-limited weight store.
 type Weights struct {
 	BytesPerSecond int64
 	ModelBytes     int64
 
-	mu   sync.Mutex
-	free time.Time // when the store is free for the next fetch
+	mu     sync.Mutex
+	freeAt time.Time // when the next fetch can start
 }
 
 // Fetch implements infra.WeightStore.
@@ -91,11 +91,11 @@
 	took := time.Duration(float64(w.ModelBytes) / float64(max(w.BytesPerSecond, 1)) * float64(time.Second))
 	w.mu.Lock()
 	start := time.Now()
-	if w.free.After(start) {
-		start = w.free
+	if w.freeAt.After(start) {
+		start = w.freeAt
 	}
-	w.free = start.Add(took)
-	until := w.free
+	w.freeAt = start.Add(took)
+	until := w.freeAt
 	w.mu.Unlock()
 	if err := wait.For(ctx, time.Until(until)); err != nil {
 		return 0, errors.Mark(err, infra.ErrUnavailable)
@@ -103,15 +103,15 @@
 	return w.ModelBytes, nil
 }
 
-// Service is a stand-in for a plain service whose calls may not be repeated.
+// Service simulates a plain service whose calls must not be repeated.
 type Service struct {
 	Delay time.Duration
 
 	mu    sync.Mutex
-	calls map[string]int // body -> calls
+	calls map[string]int // number of calls by body
 }
 
-// Do makes one call. The reply names how often this body came.
+// Do answers one call after Delay. The reply names the method and the path.
 func (s *Service) Do(ctx context.Context, method, path string, body []byte) (int, string, []byte, error) {
 	s.mu.Lock()
 	if s.calls == nil {
@@ -125,7 +125,7 @@
 	return 200, "application/json", []byte(`{"done":"` + method + " " + path + `"}`), nil
 }
 
-// Calls returns how often a body came.
+// Calls returns the number of calls with a body.
 func (s *Service) Calls(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/http.go
+++ b/standin/http.go
@@ -20,10 +20,10 @@
 	"pumiceford/infra/infrahttp"
 )
 
-// MaxBody bounds the bodies that stand-ins take.
+// MaxBody is the largest request body that stand-ins accept, in bytes.
 const MaxBody = 8 << 20
 
-// RoutePlatform serves the log, the host list and the weight store.
+// RoutePlatform adds the routes of the log, the host list and the weight store to h.
 func RoutePlatform(h *server.Hertz, log *Log, hosts *HostList, weights *Weights) {
 	h.POST("/log/append", func(ctx context.Context, c *app.RequestContext) {
 		off, err := log.Append(ctx, c.Query("stream"), c.Request.Body())
@@ -77,7 +77,8 @@
 	h.POST("/faults", func(_ context.Context, c *app.RequestContext) { serveFaults(c, log, hosts) })
 }
 
-// Faults switches faults of the platform's stand-ins.
+// Faults is the body of POST /faults, which sets all faults of the platform's
+// stand-ins.
 type Faults struct {
 	LogDown     bool    `json:"log_down"`
 	HostsDown   bool    `json:"hosts_down"`
@@ -144,7 +145,8 @@
 	streams map[string]engine.Stream
 }
 
-// RouteEngine serves an engine over its OpenAI-compatible interface.
+// RouteEngine adds the routes of an engine to h: its OpenAI-compatible interface and
+// those that tests use.
 func RouteEngine(h *server.Hertz, e *Engine) {
 	s := &engineServer{e: e, streams: make(map[string]engine.Stream)}
 	h.POST("/v1/completions", s.complete)
@@ -212,7 +214,7 @@
 	s.serve(ctx, c, r.RequestID, st)
 }
 
-// importKV goes on with an exported request and streams the rest.
+// importKV continues an exported request and streams the rest of its answer.
 func (s *engineServer) importKV(ctx context.Context, c *app.RequestContext) {
 	var kv KV
 	if json.Unmarshal(c.Request.Body(), &kv) != nil {
@@ -227,7 +229,7 @@
 	s.serve(ctx, c, kv.Request.ID, st)
 }
 
-// serve streams a generation that can be cancelled by its id.
+// serve streams a generation, which can be cancelled by its request ID.
 func (s *engineServer) serve(ctx context.Context, c *app.RequestContext, id string, st engine.Stream) {
 	defer st.Cancel()
 	s.mu.Lock()
@@ -238,10 +240,10 @@
 		delete(s.streams, id)
 		s.mu.Unlock()
 	}()
-	s.pump(ctx, sse.NewWriter(c), st)
+	s.streamChunks(ctx, sse.NewWriter(c), st)
 }
 
-func (s *engineServer) pump(ctx context.Context, w *sse.Writer, st engine.Stream) {
+func (s *engineServer) streamChunks(ctx context.Context, w *sse.Writer, st engine.Stream) {
 	for {
 		c, err := st.Next(ctx)
 		chunk := enginehttp.CompletionChunk{Choices: []enginehttp.Choice{{Text: c.Text, Tokens: c.Tokens, FinishReason: c.Finish}}}
@@ -267,7 +269,7 @@
 	httpx.WriteJSON(c, 200, struct{}{})
 }
 
-// RouteService serves a plain service.
+// RouteService adds a route to h that serves all paths from svc.
 func RouteService(h *server.Hertz, svc *Service) {
 	h.Any("/*path", func(ctx context.Context, c *app.RequestContext) {
 		status, contentType, reply, err := svc.Do(ctx, string(c.Method()), string(c.Path()), c.Request.Body())
--- a/standin/kv.go
+++ b/standin/kv.go
@@ -8,15 +8,15 @@
 	"pumiceford/engine"
 )
 
-// CacheEvent says that a prompt prefix came into the cache or left it.
+// CacheEvent reports that a prompt prefix was stored in the cache or evicted from it.
 type CacheEvent struct {
-	Seq    uint64    `json:"seq"` // without gaps where it happens, with gaps where it is told
+	Seq    uint64    `json:"seq"` // counts all events, so a gap shows that events were lost
 	Prefix uint64    `json:"prefix"`
 	Stored bool      `json:"stored"`
 	At     time.Time `json:"at"`
 }
 
-// cacheFeed tells cache events late and loses some.
+// cacheFeed records cache events, shows them after lag and loses a fraction of them.
 type cacheFeed struct {
 	lag    time.Duration
 	loss   float64
@@ -25,14 +25,14 @@
 	events []CacheEvent
 }
 
-// maxCacheEvents bounds the events kept for readers.
+// maxCacheEvents is the number of most recent events kept for readers.
 const maxCacheEvents = 4096
 
 func newCacheFeed(lag time.Duration, loss float64, seed uint64) *cacheFeed {
 	return &cacheFeed{lag: lag, loss: loss, rng: rand.New(rand.NewPCG(seed, seed))}
 }
 
-func (f *cacheFeed) note(prefix uint64, stored bool) {
+func (f *cacheFeed) record(prefix uint64, stored bool) {
 	f.seq++
 	if f.loss > 0 && f.rng.Float64() < f.loss {
 		return
@@ -43,8 +43,8 @@
 	}
 }
 
-// CacheEvents returns the events after a sequence number that are old enough to
-// be told.
+// CacheEvents returns the events after a sequence number that are older than the
+// event delay.
 func (e *Engine) CacheEvents(after uint64) []CacheEvent {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -59,37 +59,37 @@
 
 // KV is the exported state of a running sequence.
 type KV struct {
-	Request engine.Request `json:"request"`
-	Made    uint32         `json:"made"`
-	Blocks  int            `json:"blocks"`
+	Request   engine.Request `json:"request"`
+	Generated uint32         `json:"made"`
+	Blocks    int            `json:"blocks"`
 }
 
-// ExportKV takes a running request off the engine and returns its state. Its
-// stream ends as cancelled. It reports false when the request does not run.
+// ExportKV removes a running request from the engine and returns its state. Its
+// stream ends with context.Canceled. It returns false if the request does not run or
+// its prompt is not computed yet.
 func (e *Engine) ExportKV(id string) (KV, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range e.running {
-		if s.req.ID == id && !s.dead && !s.prefill {
-			s.dead = true
+		if s.req.ID == id && !s.cancelled && !s.needsPrefill {
+			s.cancelled = true
 			s.exported = true
-			return KV{Request: s.req, Made: s.made, Blocks: s.blocks}, true
+			return KV{Request: s.req, Generated: s.generated, Blocks: s.blocks}, true
 		}
 	}
 	return KV{}, false
 }
 
-// ImportKV goes on with an exported request. Nothing of its prompt is computed
-// again.
+// ImportKV continues an exported request without computing its prompt again.
 func (e *Engine) ImportKV(ctx context.Context, kv KV) (engine.Stream, error) {
 	req := kv.Request
-	req.ResumeFrom = kv.Made
+	req.ResumeFrom = kv.Generated
 	st, err := e.Generate(ctx, req)
 	if err != nil {
 		return nil, err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	st.(*engineStream).s.prefill = false
+	st.(*engineStream).s.needsPrefill = false
 	return st, nil
 }
--- a/standin/log.go
+++ b/standin/log.go
@@ -1,7 +1,7 @@
-// Package standin holds small models of the outside systems that pumiceford
-// meets: the log service, the host list, the weight store, the model engine and
-// a plain service. They serve tests, the development command and the experiment
-// tool. Faults are switched by settings and calls.
+// Package standin simulates the external systems that pumiceford depends on: the log
+// service, the host list, the weight store, the model engine and a plain service.
+// Tests, the development command and the benchmark command use it. Settings and calls
+// inject faults.
 package standin
 
 import (
@@ -16,35 +16,34 @@
 	"pumiceford/internal/wait"
 )
 
-// LogSettings shape a Log.
+// LogSettings configure a Log.
 type LogSettings struct {
-	RecordLimit      int           // bytes, default 1 MiB
+	RecordLimit      int           // largest record in bytes, default 1 MiB
 	AppendsPerSecond float64       // 0 means unlimited
-	Retention        time.Duration // records older than this are trimmed, 0 keeps all
-	RetainRecords    int           // at most this many records are kept in a stream, 0 keeps all
+	Retention        time.Duration // age at which records are trimmed, 0 keeps all
+	RetainRecords    int           // most records kept in a stream, 0 keeps all
 	Latency          time.Duration // added to each call
 	Seed             uint64
 }
 
-// Log is an in-memory stand-in for the platform's log service. One mutex guards
-// all streams.
+// Log simulates the platform's log service in memory. One mutex guards all streams.
 type Log struct {
 	set LogSettings
 
-	mu       sync.Mutex
-	streams  map[string]*logStream
-	rng      *rand.Rand
-	down     bool
-	loseNext int     // answers to lose after the append took effect
-	dropNext int     // appends to lose before they take effect
-	loseRate float64 // share of answers lost
-	slow     time.Duration
-	late     []lateCopy // copies to land after the next append of their stream
-	lateRate float64
-	tokens   float64
-	filled   time.Time
-	appends  uint64
-	bytes    uint64
+	mu         sync.Mutex
+	streams    map[string]*logStream
+	rng        *rand.Rand
+	down       bool
+	loseNext   int     // appends to come that take effect and return an error
+	dropNext   int     // appends to come that return an error without effect
+	loseRate   float64 // fraction of appends whose response is lost
+	slow       time.Duration
+	lateCopies []lateCopy // repeated appends, added after the next append to their stream
+	lateRate   float64
+	tokens     float64
+	refilledAt time.Time
+	appends    uint64
+	bytes      uint64
 }
 
 type lateCopy struct {
@@ -58,7 +57,7 @@
 	changed chan struct{} // closed at the next append
 }
 
-// defaultRecordLimit is the record limit when settings give none.
+// defaultRecordLimit is the default size limit of a record in bytes.
 const defaultRecordLimit = 1 << 20
 
 // NewLog returns an empty log.
@@ -67,44 +66,44 @@
 		set.RecordLimit = defaultRecordLimit
 	}
 	return &Log{
-		set:     set,
-		streams: make(map[string]*logStream),
-		rng:     rand.New(rand.NewPCG(set.Seed, set.Seed)),
-		filled:  time.Now(),
-		tokens:  set.AppendsPerSecond,
+		set:        set,
+		streams:    make(map[string]*logStream),
+		rng:        rand.New(rand.NewPCG(set.Seed, set.Seed)),
+		refilledAt: time.Now(),
+		tokens:     set.AppendsPerSecond,
 	}
 }
 
-// SetDown switches an outage on or off.
+// SetDown starts or ends an outage of the log.
 func (l *Log) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
 }
 
-// SetSlow adds a delay to each call.
+// SetSlow sets a delay that is added to each call.
 func (l *Log) SetSlow(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.slow = d
 }
 
-// LoseAnswers makes the next n appends take effect and then report an error.
+// LoseAnswers makes the next n appends take effect and then return an error.
 func (l *Log) LoseAnswers(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.loseNext = n
 }
 
-// DropAppends makes the next n appends report an error without effect.
+// DropAppends makes the next n appends return an error without effect.
 func (l *Log) DropAppends(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.dropNext = n
 }
 
-// SetFaultRates sets the share of appends whose answer is lost after the effect,
-// and the share of lost answers whose effect also repeats later as a late copy.
+// SetFaultRates sets the fraction of appends that take effect but whose response is
+// lost, and the fraction of those that are appended a second time later.
 func (l *Log) SetFaultRates(lost, late float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,14 +111,14 @@
 	l.lateRate = late
 }
 
-// Trim drops the records of a stream below an offset.
+// Trim removes the records of a stream below an offset.
 func (l *Log) Trim(stream string, below uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stream(stream).trim(below)
 }
 
-// Counts returns how many appends took effect and their bytes.
+// Counts returns the number of appends that took effect and their total bytes.
 func (l *Log) Counts() (appends, bytes uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,7 +168,7 @@
 	if len(data) > l.set.RecordLimit {
 		return 0, infra.ErrTooLarge
 	}
-	if wait := l.throttle(); wait > 0 {
+	if wait := l.takeToken(); wait > 0 {
 		return 0, &infra.ThrottledError{RetryAfter: wait}
 	}
 	if l.dropNext > 0 {
@@ -177,45 +176,45 @@
 		return 0, infra.ErrUnavailable
 	}
 	off := l.add(stream, data)
-	l.landLate(stream)
-	if l.losesAnswer(stream, data) {
+	l.appendLateCopies(stream)
+	if l.loseResponse(stream, data) {
 		return 0, infra.ErrUnavailable
 	}
 	return off, nil
 }
 
-func (l *Log) losesAnswer(stream string, data []byte) bool {
+func (l *Log) loseResponse(stream string, data []byte) bool {
 	lost := l.loseNext > 0 || (l.loseRate > 0 && l.rng.Float64() < l.loseRate)
 	if l.loseNext > 0 {
 		l.loseNext--
 	}
 	if lost && l.rng.Float64() < l.lateRate {
-		l.late = append(l.late, lateCopy{stream: stream, data: data})
+		l.lateCopies = append(l.lateCopies, lateCopy{stream: stream, data: data})
 	}
 	return lost
 }
 
-// landLate lets the late copies of a stream land behind a newer record.
-func (l *Log) landLate(stream string) {
-	kept := l.late[:0]
-	for _, c := range l.late {
+// appendLateCopies appends the repeated records of a stream after a newer one.
+func (l *Log) appendLateCopies(stream string) {
+	kept := l.lateCopies[:0]
+	for _, c := range l.lateCopies {
 		if c.stream == stream {
 			l.add(stream, c.data)
 			continue
 		}
 		kept = append(kept, c)
 	}
-	l.late = kept
+	l.lateCopies = kept
 }
 
-func (l *Log) throttle() time.Duration {
+func (l *Log) takeToken() time.Duration {
 	rate := l.set.AppendsPerSecond
 	if rate <= 0 {
 		return 0
 	}
 	now := time.Now()
-	l.tokens = min(l.tokens+now.Sub(l.filled).Seconds()*rate, rate)
-	l.filled = now
+	l.tokens = min(l.tokens+now.Sub(l.refilledAt).Seconds()*rate, rate)
+	l.refilledAt = now
 	if l.tokens < 1 {
 		return time.Duration((1 - l.tokens) / rate * float64(time.Second))
 	}
--- a/standin/sharedstore/sharedstore.go
+++ b/standin/sharedstore/sharedstore.go
@@ -1,5 +1,5 @@
-// Package sharedstore models the shared store in memory: partitioned logs of keyed
-// records, groups, and their faults as single hosts see them.
+// Package sharedstore simulates the shared store in memory: partitioned logs of keyed
+// records, consumer groups, and faults for single hosts or partitions.
 package sharedstore
 
 import (
@@ -13,86 +13,86 @@
 	"pumiceford/store"
 )
 
-// Fault is what happens to a host's calls.
+// Fault is a fault injected into the calls of a host or to a partition.
 type Fault int
 
 // The faults.
 const (
 	None       Fault = iota
-	Refuse           // turned away, nothing done
-	Silent           // no answer, nothing done
-	LoseAnswer       // done, but no answer comes
-	Late             // done after LateBy if it still can be; no answer comes
+	Refuse           // the call is refused without effect
+	Silent           // the call gets no response and has no effect
+	LoseAnswer       // an append takes effect but gets no response
+	Late             // an append is tried after LateBy and gets no response
 )
 
-// LateBy is when a late append is carried out.
+// LateBy is the delay of an append under the fault Late.
 const LateBy = 2 * time.Second
 
-// Store is the store. Its zero value is not usable; see New.
+// Store is the simulated store. Use New; the zero value is not usable.
 type Store struct {
-	parts int
+	partitions int
 
-	mu      sync.Mutex
-	logs    map[store.Partition]*log
-	faults  map[string]Fault
-	parted  map[store.Partition]Fault // what happens to all calls of a partition
-	groups  map[string]*group
-	changed chan struct{} // closed and replaced at each change
-	calls   int
-	reads   quota
+	mu              sync.Mutex
+	logs            map[store.Partition]*log
+	hostFaults      map[string]Fault
+	partitionFaults map[store.Partition]Fault // takes precedence over hostFaults
+	groups          map[string]*group
+	changed         chan struct{} // closed and replaced at each change
+	calls           int
+	reads           readQuota
 }
 
-// quota bounds the reads of all hosts together.
-type quota struct {
-	perSecond int       // 0 for no bound
-	since     time.Time // begin of the second that is counted
-	used      int
+// readQuota limits the reads of all hosts together.
+type readQuota struct {
+	perSecond   int       // 0 sets no limit
+	windowStart time.Time // start of the current one-second window
+	used        int
 }
 
-// take reports whether one more read is within the bound.
-func (q *quota) take(now time.Time) bool {
+// take counts a read and reports whether it is within the limit.
+func (q *readQuota) take(now time.Time) bool {
 	if q.perSecond == 0 {
 		return true
 	}
-	if now.Sub(q.since) >= time.Second {
-		q.since, q.used = now, 0
+	if now.Sub(q.windowStart) >= time.Second {
+		q.windowStart, q.used = now, 0
 	}
 	q.used++
 	return q.used <= q.perSecond
 }
 
 type log struct {
-	first   int64 // lowest offset still kept
+	first   int64 // lowest offset that is kept
 	records []store.Record
 	newest  map[string]store.Record
 }
 
 type group struct {
-	generation uint64
-	topics     []string
-	members    map[string]time.Time // by member, when its time is over
-	owners     map[store.Partition]string
-	holders    map[store.Partition]string // who was told last that it has it
-	seen       map[string]uint64          // the generation that a member named last
+	generation     uint64
+	topics         []string
+	members        map[string]time.Time // when each membership expires
+	owners         map[store.Partition]string
+	holders        map[store.Partition]string // last member that was told it owns the partition
+	seenGeneration map[string]uint64          // generation in each member's latest join
 }
 
-// New returns an empty Store whose topics have so many partitions.
+// New returns an empty Store with parts partitions in each topic.
 func New(parts int) *Store {
 	return &Store{
-		parts: parts, logs: make(map[store.Partition]*log), faults: make(map[string]Fault),
-		parted: make(map[store.Partition]Fault), groups: make(map[string]*group), changed: make(chan struct{}),
+		partitions: parts, logs: make(map[store.Partition]*log), hostFaults: make(map[string]Fault),
+		partitionFaults: make(map[store.Partition]Fault), groups: make(map[string]*group), changed: make(chan struct{}),
 	}
 }
 
-// SetFault sets what happens to a host's calls from now on.
+// SetFault sets the fault of a host's calls from now on.
 func (s *Store) SetFault(host string, f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults[host] = f
-	s.wakeLocked()
+	s.hostFaults[host] = f
+	s.notifyLocked()
 }
 
-// SetDown makes a partition refuse all calls, or serve them again.
+// SetDown makes a partition refuse all calls or serve them again.
 func (s *Store) SetDown(p store.Partition, down bool) {
 	if down {
 		s.SetPartitionFault(p, Refuse)
@@ -101,66 +101,65 @@
 	s.SetPartitionFault(p, None)
 }
 
-// SetPartitionFault sets what happens to all hosts' calls of a partition from now
-// on.
+// SetPartitionFault sets the fault of all hosts' calls to a partition from now on.
 func (s *Store) SetPartitionFault(p store.Partition, f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.parted[p] = f
-	s.wakeLocked()
+	s.partitionFaults[p] = f
+	s.notifyLocked()
 }
 
-// SetReadsPerSecond bounds the reads of all hosts together: those beyond it are turned
-// away.
+// SetReadsPerSecond limits the reads of all hosts together; further reads are refused.
+// Zero sets no limit.
 func (s *Store) SetReadsPerSecond(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reads.perSecond = n
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Forget drops the history of a partition; the newest record of each key stays.
+// Forget removes the history of a partition; the newest record of each key stays.
 func (s *Store) Forget(p store.Partition) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.logLocked(p)
 	l.first += int64(len(l.records))
 	l.records = nil
-	s.wakeLocked()
+	s.notifyLocked()
 }
 
-// Records returns what a partition still holds of its history.
+// Records returns the records in a partition's remaining history.
 func (s *Store) Records(p store.Partition) []store.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.logLocked(p).records)
 }
 
-// Put appends a record as an operator or target does, without faults.
+// Put appends a record as an operator or a target does, regardless of faults.
 func (s *Store) Put(p store.Partition, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.appendLocked(p, []store.Record{{Key: key, Value: value}})
 }
 
-// Rebalance deals all partitions of a group anew at once, without waiting for
-// those that had them.
+// Rebalance reassigns all partitions of a group at once, without waiting for their
+// previous owners to release them.
 func (s *Store) Rebalance(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if g := s.groups[name]; g != nil {
-		g.deal(s.parts, 1)
+		g.assign(s.partitions, 1)
 		clear(g.holders)
 	}
 }
 
-func (s *Store) wakeLocked() {
+func (s *Store) notifyLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -190,10 +189,10 @@
 		}
 		l.newest[r.Key] = r
 	}
-	s.wakeLocked()
+	s.notifyLocked()
 }
 
-// For returns the store as a host sees it.
+// For returns a client of the store for a host.
 func (s *Store) For(host string) *Face {
 	return &Face{store: s, host: host}
 }
@@ -206,16 +205,16 @@
 
 var _ store.Client = (*Face)(nil)
 
-// enter counts a call and applies the host's fault. It returns the fault when the
-// call is still to be carried out.
-func (f *Face) enter(ctx context.Context, parts ...store.Partition) (Fault, error) {
+// beginCall counts a call and applies the fault of the host or of the partitions. It
+// returns the fault and no error if the call is still to be executed.
+func (f *Face) beginCall(ctx context.Context, parts ...store.Partition) (Fault, error) {
 	s := f.store
 	s.mu.Lock()
 	s.calls++
-	fault := s.faults[f.host]
+	fault := s.hostFaults[f.host]
 	for _, p := range parts {
-		if s.parted[p] != None {
-			fault = s.parted[p]
+		if s.partitionFaults[p] != None {
+			fault = s.partitionFaults[p]
 		}
 	}
 	s.mu.Unlock()
@@ -230,9 +229,9 @@
 	return fault, ctx.Err()
 }
 
-// enterRead is enter for a read, which counts against the bound of all reads.
-func (f *Face) enterRead(ctx context.Context, p store.Partition) error {
-	if _, err := f.enter(ctx, p); err != nil {
+// beginRead is beginCall for a read, which counts towards the limit on reads.
+func (f *Face) beginRead(ctx context.Context, p store.Partition) error {
+	if _, err := f.beginCall(ctx, p); err != nil {
 		return err
 	}
 	f.store.mu.Lock()
@@ -245,7 +244,7 @@
 
 // Append implements store.Log.
 func (f *Face) Append(ctx context.Context, p store.Partition, recs []store.Record, at int64) (int64, error) {
-	fault, err := f.enter(ctx, p)
+	fault, err := f.beginCall(ctx, p)
 	if err != nil {
 		return 0, err
 	}
@@ -274,7 +273,7 @@
 
 // Read implements store.Log.
 func (f *Face) Read(ctx context.Context, p store.Partition, from int64, wait time.Duration) (store.Page, error) {
-	if err := f.enterRead(ctx, p); err != nil {
+	if err := f.beginRead(ctx, p); err != nil {
 		return store.Page{}, err
 	}
 	until := time.NewTimer(wait)
@@ -286,8 +285,8 @@
 		}
 		select {
 		case <-changed:
-			if f.silent(p) {
-				// The connection has gone silent for good, whatever comes later.
+			if f.unresponsive(p) {
+				// A pending read gets no response even if the fault is cleared later.
 				<-ctx.Done()
 				return page, errors.Mark(ctx.Err(), store.ErrUnavailable)
 			}
@@ -299,10 +298,10 @@
 	}
 }
 
-func (f *Face) silent(p store.Partition) bool {
+func (f *Face) unresponsive(p store.Partition) bool {
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
-	return f.store.faults[f.host] == Silent || f.store.parted[p] == Silent
+	return f.store.hostFaults[f.host] == Silent || f.store.partitionFaults[p] == Silent
 }
 
 func (s *Store) page(p store.Partition, from int64) (store.Page, chan struct{}, error) {
@@ -319,12 +318,12 @@
 	return page, s.changed, nil
 }
 
-// newestPage is how many keys one page of newest records has.
-const newestPage = 500
+// newestPageKeys is the largest number of keys in a page of newest records.
+const newestPageKeys = 500
 
 // Newest implements store.Log.
 func (f *Face) Newest(ctx context.Context, p store.Partition, after string) (store.Snapshot, error) {
-	if err := f.enterRead(ctx, p); err != nil {
+	if err := f.beginRead(ctx, p); err != nil {
 		return store.Snapshot{}, err
 	}
 	s := f.store
@@ -339,8 +338,8 @@
 		}
 	}
 	slices.Sort(keys)
-	if len(keys) > newestPage {
-		keys, snap.More = keys[:newestPage], true
+	if len(keys) > newestPageKeys {
+		keys, snap.More = keys[:newestPageKeys], true
 	}
 	for _, k := range keys {
 		snap.Records = append(snap.Records, l.newest[k])
@@ -350,7 +349,7 @@
 
 // Join implements store.Groups.
 func (f *Face) Join(ctx context.Context, req store.JoinRequest) (store.Membership, error) {
-	if _, err := f.enter(ctx); err != nil {
+	if _, err := f.beginCall(ctx); err != nil {
 		return store.Membership{}, err
 	}
 	s := f.store
@@ -360,7 +359,7 @@
 	if g == nil {
 		g = &group{
 			members: make(map[string]time.Time), topics: req.Topics,
-			holders: make(map[store.Partition]string), seen: make(map[string]uint64),
+			holders: make(map[store.Partition]string), seenGeneration: make(map[string]uint64),
 		}
 		s.groups[req.Group] = g
 	}
@@ -368,9 +367,9 @@
 	_, known := g.members[req.Member]
 	g.members[req.Member] = now.Add(req.TTL)
 	if g.expire(now) || !known {
-		g.deal(s.parts, 0)
+		g.assign(s.partitions, 0)
 	}
-	g.seen[req.Member] = req.Generation
+	g.seenGeneration[req.Member] = req.Generation
 	m := store.Membership{Generation: g.generation}
 	for p, owner := range g.owners {
 		if owner == req.Member && g.released(p, owner) {
@@ -381,27 +380,28 @@
 	return m, nil
 }
 
-// released reports whether a partition's last holder has given it up: it left, its
-// time is over, or it has joined with the generation that took it away.
+// released reports whether owner may take a partition: it is the last holder, or the
+// last holder has left, has expired or has joined with the current generation.
 func (g *group) released(p store.Partition, owner string) bool {
 	holder := g.holders[p]
 	_, live := g.members[holder]
-	return holder == owner || !live || g.seen[holder] >= g.generation
+	return holder == owner || !live || g.seenGeneration[holder] >= g.generation
 }
 
 func (g *group) expire(now time.Time) bool {
-	gone := false
+	expired := false
 	for m, until := range g.members {
 		if now.After(until) {
 			delete(g.members, m)
-			gone = true
+			expired = true
 		}
 	}
-	return gone
+	return expired
 }
 
-// deal gives the partitions to the members in turn.
-func (g *group) deal(parts, shift int) {
+// assign starts a new generation and assigns the partitions to the members round
+// robin, beginning at member shift.
+func (g *group) assign(parts, shift int) {
 	g.generation++
 	g.owners = make(map[store.Partition]string)
 	var members []string
@@ -421,7 +421,7 @@
 
 // Leave implements store.Groups.
 func (f *Face) Leave(ctx context.Context, name, member string) error {
-	if _, err := f.enter(ctx); err != nil {
+	if _, err := f.beginCall(ctx); err != nil {
 		return err
 	}
 	s := f.store
@@ -429,14 +429,14 @@
 	defer s.mu.Unlock()
 	if g := s.groups[name]; g != nil {
 		delete(g.members, member)
-		g.deal(s.parts, 0)
+		g.assign(s.partitions, 0)
 	}
 	return nil
 }
 
 // Owners implements store.Groups.
 func (f *Face) Owners(ctx context.Context, name string) ([]store.Owner, error) {
-	if _, err := f.enter(ctx); err != nil {
+	if _, err := f.beginCall(ctx); err != nil {
 		return nil, err
 	}
 	s := f.store
@@ -451,7 +451,7 @@
 	return out, nil
 }
 
-// Kept returns how many keys a partition holds, whatever faults there are.
+// Kept returns the number of keys in a partition, regardless of faults.
 func (f *Face) Kept(p store.Partition) int {
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
