--- a/dev/check.go
+++ b/dev/check.go
@@ -18,10 +18,10 @@
 	"pumiceford/standin"
 )
 
-// checkBound bounds one step of Check.
-const checkBound = 60 * time.Second
+// stepTimeout limits one step of Check.
+const stepTimeout = 60 * time.Second
 
-// CheckError says which step of the check went wrong.
+// CheckError is the failure of one step of Check.
 type CheckError struct {
 	Step    string
 	Problem string
@@ -32,11 +32,12 @@
 	return e.Step + ": " + e.Problem
 }
 
-func wrong(step, format string, args ...any) error {
+func checkFailed(step, format string, args ...any) error {
 	return &CheckError{Step: step, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Check runs the main job against the fleet and prints what each step gave.
+// Check runs online requests, batch jobs and a configuration change against the fleet
+// and prints the result and duration of each step to out. It returns all failures.
 func (f *Fleet) Check(ctx context.Context, out io.Writer) error {
 	steps := []struct {
 		name string
@@ -50,14 +51,14 @@
 	var failed error
 	for _, s := range steps {
 		began := time.Now()
-		sctx, cancel := context.WithTimeout(ctx, checkBound)
-		said, err := s.run(sctx)
+		sctx, cancel := context.WithTimeout(ctx, stepTimeout)
+		result, err := s.run(sctx)
 		cancel()
 		if err != nil {
 			failed = errors.CombineErrors(failed, err)
-			said = "WRONG " + err.Error()
+			result = "FAILED " + err.Error()
 		}
-		if _, err := fmt.Fprintf(out, "%-7s %6.2fs  %s\n", s.name, time.Since(began).Seconds(), said); err != nil {
+		if _, err := fmt.Fprintf(out, "%-7s %6.2fs  %s\n", s.name, time.Since(began).Seconds(), result); err != nil {
 			return err
 		}
 	}
@@ -65,45 +66,46 @@
 }
 
 func (f *Fleet) caller(n int) (*client.Client, error) {
-	return client.New(f.Callers[n%len(f.Callers)], WorkspaceKey)
+	return client.New(f.CallerURLs[n%len(f.CallerURLs)], WorkspaceKey)
 }
 
 func (f *Fleet) checkOnline(ctx context.Context) (string, error) {
 	const tokens = 48
 	prompt := "Which currency checks are due before my next night flight?"
-	pieces := 0
+	chunks := 0
 	var got strings.Builder
-	for n := range f.Callers {
+	for n := range f.CallerURLs {
 		c, err := f.caller(n)
 		if err != nil {
 			return "", err
 		}
 		err = retry(ctx, func() error {
 			got.Reset()
-			pieces = 0
+			chunks = 0
 			return c.Stream(ctx, client.CompletionRequest{Model: Model, Prompt: prompt, MaxTokens: tokens}, func(s string) {
 				got.WriteString(s)
-				pieces++
+				chunks++
 			})
 		})
 		if err != nil {
 			return "", err
 		}
 		if got.String() != standin.AnswerText(prompt, tokens) {
-			return "", wrong("online", "entry %d gave another answer than the engine", n)
+			return "", checkFailed("online", "answer through entry %d differs from the engine's", n)
 		}
 	}
-	return fmt.Sprintf("whole answer of %d tokens in %d pieces through each of %d entries", tokens, pieces, len(f.Callers)), nil
+	return fmt.Sprintf("complete answer of %d tokens in %d chunks through each of %d entries", tokens, chunks, len(f.CallerURLs)), nil
 }
 
-// Sizes of the checked jobs.
+// Sizes of the jobs that Check submits.
 const (
 	checkItems  = 220
 	cancelItems = 2000
 	itemTokens  = 16
 )
 
-// batchFile writes a batch file. Items whose index is in poison can never be done.
+// batchFile returns the contents of a batch file. The engine rejects the items whose
+// index is in poison.
 func batchFile(tag string, items int, poison map[int]bool) []byte {
 	var b bytes.Buffer
 	for n := range items {
@@ -156,21 +158,21 @@
 		return "", err
 	}
 	if again.ID != b.ID {
-		return "", wrong("batch", "a resend through the other entry made another job")
+		return "", checkFailed("batch", "submitting the file again through the other entry created a second job")
 	}
 	if b, err = c.Wait(ctx, b.ID, 50*time.Millisecond); err != nil {
 		return "", err
 	}
 	if b.RequestCounts.Completed != checkItems-len(poison) || b.RequestCounts.Failed != len(poison) {
-		return "", wrong("batch", "counts are %+v", b.RequestCounts)
+		return "", checkFailed("batch", "unexpected request counts %+v", b.RequestCounts)
 	}
 	if err := f.checkResults(ctx, b, poison); err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%d items: %d succeeded, %d can never be done and failed with a reason; each once, in order, through the other entry", checkItems, b.RequestCounts.Completed, b.RequestCounts.Failed), nil
+	return fmt.Sprintf("%d items: %d succeeded, %d rejected items failed with a reason; results read once each and in order through the other entry", checkItems, b.RequestCounts.Completed, b.RequestCounts.Failed), nil
 }
 
-// resend submits the same file once more through another entry.
+// resend submits the same file again through another entry.
 func (f *Fleet) resend(ctx context.Context, b client.Batch) (client.Batch, error) {
 	c, err := f.caller(1)
 	if err != nil {
@@ -213,7 +215,7 @@
 			continue
 		}
 		if at >= len(goodLines) {
-			return wrong("batch", "only %d results", len(goodLines))
+			return checkFailed("batch", "got only %d results", len(goodLines))
 		}
 		if err := checkLine(goodLines[at], n); err != nil {
 			return err
@@ -221,11 +223,11 @@
 		at++
 	}
 	if at != len(goodLines) || len(badLines) != len(poison) {
-		return wrong("batch", "%d results and %d errors", len(goodLines), len(badLines))
+		return checkFailed("batch", "got %d results and %d errors", len(goodLines), len(badLines))
 	}
 	for _, l := range badLines {
 		if l.Error == nil || l.Error.Message == "" {
-			return wrong("batch", "%s failed without a reason", l.CustomID)
+			return checkFailed("batch", "item %s failed without a reason", l.CustomID)
 		}
 	}
 	return nil
@@ -234,10 +236,10 @@
 func checkLine(l resultLine, n int) error {
 	want := fmt.Sprintf("dossier-%d", n)
 	if l.CustomID != want || l.Response == nil || len(l.Response.Body.Choices) != 1 {
-		return wrong("batch", "result %q where %q belongs", l.CustomID, want)
+		return checkFailed("batch", "got result %q, expected %q", l.CustomID, want)
 	}
 	if l.Response.Body.Choices[0].Text != standin.AnswerText(itemPrompt("dossier", n), itemTokens) {
-		return wrong("batch", "%s has another text than the engine gave", want)
+		return checkFailed("batch", "text of item %s differs from the engine's", want)
 	}
 	return nil
 }
@@ -268,7 +270,7 @@
 		return "", err
 	}
 	if b.Status != "cancelled" {
-		return "", wrong("cancel", "status is %s", b.Status)
+		return "", checkFailed("cancel", "job status is %s, expected cancelled", b.Status)
 	}
 	before := b.RequestCounts.Completed
 	admitted := f.admitted()
@@ -279,9 +281,9 @@
 		return "", err
 	}
 	if b.RequestCounts.Completed != before || f.admitted() != admitted {
-		return "", wrong("cancel", "items ran on after the cancel was told as done")
+		return "", checkFailed("cancel", "items ran after the job was reported as cancelled")
 	}
-	return fmt.Sprintf("%d of %d items were done before the cancel, none after", before, cancelItems), nil
+	return fmt.Sprintf("%d of %d items completed before the cancellation, none after it", before, cancelItems), nil
 }
 
 func (f *Fleet) admitted() uint64 {
@@ -293,7 +295,7 @@
 }
 
 func (f *Fleet) checkConfig(ctx context.Context) (string, error) {
-	ops, err := client.New(f.Operators[len(f.Operators)-1], OperatorKey)
+	ops, err := client.New(f.OperatorURLs[len(f.OperatorURLs)-1], OperatorKey)
 	if err != nil {
 		return "", err
 	}
@@ -305,12 +307,12 @@
 		return "", err
 	}
 	if !plan.InForce {
-		return "", wrong("config", "plan %s is not in force", plan.ID)
+		return "", checkFailed("config", "plan %s is not in force", plan.ID)
 	}
 	var over entry.PlanReply
 	err = ops.JSON(ctx, "POST", "/plans", entry.ProposeBody{Intents: []config.Intent{{Kind: config.SetShare, Workspace: "boutiques", Share: 0.8}}}, &over)
 	if err == nil {
-		return "", wrong("config", "shares over the fleet were planned")
+		return "", checkFailed("config", "a plan with shares above the whole fleet was accepted")
 	}
-	return fmt.Sprintf("plan confirmed at offset %d and in force on all nodes; shares over the fleet refused", plan.Decided), nil
+	return fmt.Sprintf("plan confirmed at offset %d and in force on all nodes; shares above the whole fleet refused", plan.Decided), nil
 }
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -1,5 +1,5 @@
-// Package dev runs entries, agents and stand-ins in one process on loopback, for
-// trying pumiceford out and for checking a tree.
+// Package dev runs entries, agents and simulated external systems in one process on
+// loopback, to try pumiceford out and to check a source tree.
 package dev
 
 import (
@@ -25,7 +25,7 @@
 	"pumiceford/standin"
 )
 
-// Keys of the development fleet.
+// Keys, workspace and model of the development fleet.
 const (
 	OperatorKey  = "dev-operator-key"
 	WorkspaceKey = "dev-workspace-key"
@@ -33,13 +33,13 @@
 	Model        = "renewal-7b"
 )
 
-// Options shape a Fleet.
+// Options configure a Fleet. Zero values select defaults.
 type Options struct {
 	Entries    int
 	Agents     int
 	Partitions uint32
 	Seats      int
-	Step       time.Duration
+	StepTime   time.Duration
 	LogLevel   string
 }
 
@@ -48,12 +48,12 @@
 	defaults.Set(&o.Agents, 4)
 	defaults.Set(&o.Partitions, 8)
 	defaults.Set(&o.Seats, 16)
-	defaults.Set(&o.Step, 2*time.Millisecond)
+	defaults.Set(&o.StepTime, 2*time.Millisecond)
 	defaults.Set(&o.LogLevel, "error")
 	return o
 }
 
-// Platform joins the stand-ins of the platform's services.
+// Platform combines the simulated services of the platform.
 type Platform struct {
 	*standin.Log
 	*standin.HostList
@@ -62,17 +62,17 @@
 
 // Fleet is a running development fleet.
 type Fleet struct {
-	Callers   []string // base URLs, one for each entry
-	Operators []string
-	Platform  Platform
-	Engines   []*standin.Engine
-	Service   *standin.Service
+	CallerURLs   []string // base URLs for callers, one for each entry
+	OperatorURLs []string // base URLs for operators, one for each entry
+	Platform     Platform
+	Engines      []*standin.Engine
+	Service      *standin.Service
 
 	stop  context.CancelFunc
 	group *errgroup.Group
 }
 
-// Start starts a fleet. Stop ends it.
+// Start starts a fleet, which runs until Stop.
 func Start(opts Options) (*Fleet, error) {
 	opts = opts.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -97,22 +97,22 @@
 	return f, nil
 }
 
-func loopback() (net.Listener, error) {
+func listenLoopback() (net.Listener, error) {
 	return settings.Listen("127.0.0.1:0")
 }
 
 var dataCentres = []string{"kakkanad-a", "kakkanad-b"}
 
 func (f *Fleet) startAgent(ctx context.Context, opts Options, n int) error {
-	peers, err := loopback()
+	peers, err := listenLoopback()
 	if err != nil {
 		return err
 	}
-	ops, err := loopback()
+	ops, err := listenLoopback()
 	if err != nil {
 		return err
 	}
-	eng := standin.NewEngine(ctx, standin.EngineSettings{Models: []string{Model}, StepBase: opts.Step, MaxRunning: opts.Seats})
+	eng := standin.NewEngine(ctx, standin.EngineSettings{Models: []string{Model}, StepBase: opts.StepTime, MaxRunning: opts.Seats})
 	f.Engines = append(f.Engines, eng)
 	set := &settings.Agent{
 		Name:       "agent-" + strconv.Itoa(n),
@@ -132,7 +132,7 @@
 func (f *Fleet) startEntry(ctx context.Context, opts Options, n int) error {
 	var ls daemon.EntryListeners
 	for _, into := range []*net.Listener{&ls.Callers, &ls.Operators, &ls.Peers} {
-		ln, err := loopback()
+		ln, err := listenLoopback()
 		if err != nil {
 			return err
 		}
@@ -147,22 +147,22 @@
 		Log:          settings.Log{Level: opts.LogLevel},
 	}
 	f.Platform.Put(infra.Host{Name: set.Name, Role: infra.RoleEntry, Addr: ls.Peers.Addr().String(), DataCentre: set.DataCentre})
-	f.Callers = append(f.Callers, "http://"+ls.Callers.Addr().String())
-	f.Operators = append(f.Operators, "http://"+ls.Operators.Addr().String())
+	f.CallerURLs = append(f.CallerURLs, "http://"+ls.Callers.Addr().String())
+	f.OperatorURLs = append(f.OperatorURLs, "http://"+ls.Operators.Addr().String())
 	f.group.Go(func() error { return daemon.ServeEntry(ctx, set, f.Platform, ls) })
 	return nil
 }
 
-// Stop stops the fleet gracefully and returns its first failure.
+// Stop stops the fleet gracefully and returns the first error of its processes.
 func (f *Fleet) Stop() error {
 	f.stop()
 	return f.group.Wait()
 }
 
-// Setup puts the development configuration in force: one model, one workspace
-// with a key and a share.
+// Setup confirms the development configuration: one model and one workspace with a key
+// and a share.
 func (f *Fleet) Setup(ctx context.Context) error {
-	ops, err := client.New(f.Operators[0], OperatorKey)
+	ops, err := client.New(f.OperatorURLs[0], OperatorKey)
 	if err != nil {
 		return err
 	}
@@ -176,7 +176,8 @@
 	return err
 }
 
-// PlanAndConfirm states intents, confirms the plan and waits until it is in force.
+// PlanAndConfirm proposes a plan for intents, confirms it and waits until it is in
+// force or some of its confirmations are missing.
 func PlanAndConfirm(ctx context.Context, ops *client.Client, why string, intents []config.Intent) (entry.PlanReply, error) {
 	var proposed, plan entry.PlanReply
 	if err := retry(ctx, func() error {
@@ -189,7 +190,7 @@
 	}
 	for !plan.InForce && len(plan.Missing) == 0 {
 		if err := wait.For(ctx, 50*time.Millisecond); err != nil {
-			return plan, apierr.Executed(apierr.CodeDeadline, "accepted but not in force on %v", plan.Laggards)
+			return plan, apierr.Executed(apierr.CodeDeadline, "plan confirmed but not in force on %v", plan.Laggards)
 		}
 		plan = entry.PlanReply{}
 		if err := ops.JSON(ctx, http.MethodGet, "/plans/"+proposed.ID, nil, &plan); err != nil {
@@ -199,7 +200,8 @@
 	return plan, nil
 }
 
-// retry repeats a call that is refused as not run while a fleet starts.
+// retry repeats a call while it fails with an error that is expected while a fleet
+// starts.
 func retry(ctx context.Context, call func() error) error {
 	for {
 		err := call()
@@ -214,7 +216,7 @@
 	}
 }
 
-// Hints returns what a person may try against the fleet.
+// Hints returns the fleet's addresses and keys with commands to try.
 func (f *Fleet) Hints() string {
 	return fmt.Sprintf(`callers    %s  %s
 operators  %s  %s
@@ -226,7 +228,7 @@
   curl -s %s/v1/models -H "Authorization: Bearer %s"
   go run ./cmd/pumice status --url %s --key %s
 `,
-		f.Callers[0], f.Callers[len(f.Callers)-1], f.Operators[0], f.Operators[len(f.Operators)-1],
+		f.CallerURLs[0], f.CallerURLs[len(f.CallerURLs)-1], f.OperatorURLs[0], f.OperatorURLs[len(f.OperatorURLs)-1],
 		Workspace, WorkspaceKey, OperatorKey,
-		f.Callers[0], WorkspaceKey, f.Callers[0], WorkspaceKey, f.Operators[0], OperatorKey)
+		f.CallerURLs[0], WorkspaceKey, f.CallerURLs[0], WorkspaceKey, f.OperatorURLs[0], OperatorKey)
 }
--- a/dev/openai_test.go
+++ b/dev/openai_test.go
@@ -19,8 +19,8 @@
 	"pumiceford/standin"
 )
 
-// bound is far above what any test here takes.
-const bound = 2 * time.Minute
+// testTimeout is far longer than any test here takes.
+const testTimeout = 2 * time.Minute
 
 func startFleet(t *testing.T) (*Fleet, context.Context) {
 	t.Helper()
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(func() {
 		cancel()
 		if err := f.Stop(); err != nil {
@@ -44,9 +44,9 @@
 	return f, ctx
 }
 
-// awaitTargets waits until every entry answers.
+// awaitTargets waits until an online request succeeds through every entry.
 func (f *Fleet) awaitTargets(ctx context.Context) error {
-	for n := range f.Callers {
+	for n := range f.CallerURLs {
 		c, err := f.caller(n)
 		if err != nil {
 			return err
@@ -60,10 +60,10 @@
 	return nil
 }
 
-// The official client drives the callers' interface unmodified.
+// The unmodified official OpenAI client works with the callers' interface.
 func TestOpenAIClient(t *testing.T) {
 	f, ctx := startFleet(t)
-	c := openai.NewClient(option.WithBaseURL(f.Callers[0]+"/v1/"), option.WithAPIKey(WorkspaceKey), option.WithMaxRetries(0))
+	c := openai.NewClient(option.WithBaseURL(f.CallerURLs[0]+"/v1/"), option.WithAPIKey(WorkspaceKey), option.WithMaxRetries(0))
 
 	models, err := c.Models.List(ctx)
 	if err != nil || len(models.Data) != 1 || models.Data[0].ID != Model {
@@ -127,7 +127,7 @@
 		}
 		data, err := io.ReadAll(reply.Body)
 		if err != nil || len(lines(data)) != want {
-			t.Fatalf("%s holds %d lines: %v", id, len(lines(data)), err)
+			t.Fatalf("file %s has %d lines, error %v", id, len(lines(data)), err)
 		}
 	}
 	list, err := c.Batches.List(ctx, openai.BatchListParams{Limit: openai.Int(1)})
@@ -149,18 +149,19 @@
 		t.Fatal(err)
 	}
 	if job.Status != openai.BatchStatusCancelled && job.Status != openai.BatchStatusCancelling {
-		t.Fatalf("cancelled job is %s", job.Status)
+		t.Fatalf("status of the cancelled job is %s", job.Status)
 	}
 }
 
-// Every bad input gets its own typed error that says the request did not run.
-func TestBadInput(t *testing.T) {
+// Every invalid input returns the expected error code, and the error states that the
+// request did not run.
+func TestInvalidInput(t *testing.T) {
 	f, ctx := startFleet(t)
 	c, err := f.caller(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	stranger, err := client.New(f.Callers[0], "no such key")
+	unknownKey, err := client.New(f.CallerURLs[0], "no such key")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +188,7 @@
 		{"unknown model", post(c, "/v1/completions", `{"model":"none","prompt":"x"}`), apierr.CodeUnknownModel},
 		{"too many tokens", post(c, "/v1/completions", `{"model":"renewal-7b","prompt":"x","max_tokens":1000000}`), apierr.CodeBadRequest},
 		{"bad deadline", post(c, "/v1/completions", `{"model":"renewal-7b","prompt":"x"}`, client.Header{Name: entry.HeaderTimeout, Value: "soon"}), apierr.CodeBadRequest},
-		{"wrong key", post(stranger, "/v1/completions", `{"model":"renewal-7b","prompt":"x"}`), apierr.CodeUnauthorized},
+		{"wrong key", post(unknownKey, "/v1/completions", `{"model":"renewal-7b","prompt":"x"}`), apierr.CodeUnauthorized},
 		{"no such service", post(c, "/v1/services/none/x", ``), apierr.CodeNoTarget},
 		{"empty file", upload(""), apierr.CodeBadRequest},
 		{"bad line", upload(item + "\n{"), apierr.CodeBadRequest},
@@ -206,10 +207,9 @@
 	}
 }
 
-// Symptom: a seamstress's hem is taken up twice. Sequence: the same call with the
-// same key goes through both entries. Cause guarded against: a key that one entry
-// remembers for itself.
-func TestKeyedCallThroughBothEntries(t *testing.T) {
+// Guards against a call that runs twice when it is sent with the same idempotency key
+// through both entries, which happens if each entry remembers only its own keys.
+func TestIdempotencyKeyHoldsAcrossEntries(t *testing.T) {
 	f, ctx := startFleet(t)
 	key := client.Header{Name: entry.HeaderKey, Value: "hem-17"}
 	var first string
@@ -220,7 +220,7 @@
 		}
 		reply, err := c.Raw(ctx, http.MethodPost, "/v1/services/stamps/hem", "application/json", []byte("17"), key)
 		if err != nil {
-			t.Fatalf("call %d: %v", n, err)
+			t.Fatalf("call %d failed: %v", n, err)
 		}
 		if n == 0 {
 			first = string(reply)
@@ -230,27 +230,27 @@
 		}
 	}
 	if n := f.Service.Calls("17"); n != 1 {
-		t.Fatalf("the service was called %d times", n)
+		t.Fatalf("the service was called %d times, want once", n)
 	}
 	c, err := f.caller(1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.Raw(ctx, http.MethodPost, "/v1/services/stamps/hem", "application/json", []byte("18"), key); !apierr.Is(err, apierr.CodeKeyConflict) {
-		t.Fatalf("another content under the key: %v", err)
+		t.Fatalf("different body with the same key: got %v, want a key conflict", err)
 	}
 }
 
-// The largest job that a caller may send is accepted whole, and one item more is
-// refused before anything is kept.
-func TestLargestJob(t *testing.T) {
+// A file with the maximum number of items is accepted and read back completely, and a
+// file with one item more is refused.
+func TestLargestJobIsAccepted(t *testing.T) {
 	f, ctx := startFleet(t)
 	c, err := f.caller(0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.Upload(ctx, "f", batchFile("over", entry.MaxFileItems+1, nil)); !apierr.Is(err, apierr.CodeTooLarge) {
-		t.Fatalf("one item too many: %v", err)
+		t.Fatalf("file with one item too many: got %v, want the code too large", err)
 	}
 	id, err := c.Upload(ctx, "f", batchFile("most", entry.MaxFileItems, nil))
 	if err != nil {
@@ -258,7 +258,7 @@
 	}
 	b, err := c.Submit(ctx, id, "/v1/completions", "24h")
 	if err != nil || b.RequestCounts.Total != entry.MaxFileItems {
-		t.Fatalf("%+v %v", b, err)
+		t.Fatalf("submitted job: %+v, error %v", b, err)
 	}
 	other, err := f.caller(1)
 	if err != nil {
@@ -266,12 +266,12 @@
 	}
 	data, err := other.Content(ctx, id)
 	if err != nil || bytes.Count(data, []byte("\n")) != entry.MaxFileItems {
-		t.Fatalf("%d lines read back: %v", bytes.Count(data, []byte("\n")), err)
+		t.Fatalf("read back %d lines, error %v", bytes.Count(data, []byte("\n")), err)
 	}
 	if _, err := other.Cancel(ctx, b.ID); err != nil {
 		t.Fatal(err)
 	}
 	if b, err = other.Wait(ctx, b.ID, 100*time.Millisecond); err != nil || b.Status != "cancelled" {
-		t.Fatalf("%+v %v", b, err)
+		t.Fatalf("cancelled job: %+v, error %v", b, err)
 	}
 }
--- a/e2e/doc.go
+++ b/e2e/doc.go
@@ -1,3 +1,3 @@
-// Package e2e tests the system as separate processes over TCP. The tests start
-// the processes; the processes start none.
+// Package e2e tests the system as separate processes over TCP. Only the tests start
+// processes.
 package e2e
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("pinning instructions %s %d", tag, n)
 }
 
-// checkJob reads the output file and compares every item.
+// checkJob reads a job's output file and compares the ID, order and text of every item.
 func checkJob(t *testing.T, c *client.Client, b client.Batch, tag string, items, tokens int) {
 	t.Helper()
 	data, err := c.Content(context.Background(), b.OutputFileID)
@@ -60,7 +60,7 @@
 			t.Fatal(err)
 		}
 		if want := fmt.Sprintf("%s-%d", tag, n); l.CustomID != want {
-			t.Fatalf("line %d is %q, want %q", n, l.CustomID, want)
+			t.Fatalf("line %d is for item %q, want %q", n, l.CustomID, want)
 		}
 		if got, want := l.Response.Body.Choices[0].Text, standin.AnswerText(prompt(tag, n), uint32(tokens)); got != want {
 			t.Fatalf("item %d: got %q, want %q", n, got, want)
@@ -68,14 +68,14 @@
 		n++
 	}
 	if n != items {
-		t.Fatalf("%d results, want %d", n, items)
+		t.Fatalf("got %d results, want %d", n, items)
 	}
 }
 
 func submit(t *testing.T, f *fleet, c *client.Client, tag string, items, tokens int) client.Batch {
 	t.Helper()
 	var b client.Batch
-	f.await("submit", func(ctx context.Context) error {
+	f.waitFor("submit", func(ctx context.Context) error {
 		id, err := c.Upload(ctx, tag, jobFile(tag, items, tokens))
 		if err != nil {
 			return err
@@ -86,9 +86,9 @@
 	return b
 }
 
-func wait(t *testing.T, f *fleet, c *client.Client, b client.Batch) client.Batch {
+func waitJob(t *testing.T, f *fleet, c *client.Client, b client.Batch) client.Batch {
 	t.Helper()
-	f.await("end of the job", func(ctx context.Context) error {
+	f.waitFor("end of the job", func(ctx context.Context) error {
 		got, err := c.Batch(ctx, b.ID)
 		if err != nil {
 			return err
@@ -102,10 +102,10 @@
 	return b
 }
 
-// The whole path as separate processes: a streamed answer and a job.
-func TestPath(t *testing.T) {
+// A streamed answer and a job complete across separate processes.
+func TestOnlineAndBatch(t *testing.T) {
 	f := newFleet(t)
-	f.await("online answer", func(ctx context.Context) error {
+	f.waitFor("online answer", func(ctx context.Context) error {
 		got, err := stream(ctx, f.caller(0), "lace stock", 40)
 		if err != nil {
 			return err
@@ -115,16 +115,15 @@
 		}
 		return nil
 	})
-	b := wait(t, f, f.caller(0), submit(t, f, f.caller(0), "path", 200, 8))
+	b := waitJob(t, f, f.caller(0), submit(t, f, f.caller(0), "path", 200, 8))
 	checkJob(t, f.caller(1), b, "path", 200, 8)
 }
 
-// Symptom: an answer stops in the middle or a job misses items after a target
-// host dies. Sequence: an agent is killed while it streams an answer and holds
-// granted batch items. Cause guarded against: the entry gives up with the
-// connection instead of resuming on another target, and the owner never takes
-// the lost items back.
-func TestAgentKilled(t *testing.T) {
+// Guards against interrupted answers and missing items after a target host dies. An
+// agent is killed while it streams an answer and holds granted batch items. The failure
+// occurs if the entry gives up when the connection breaks instead of resuming on another
+// target, or if the owner does not reclaim the lost items.
+func TestKilledAgentLosesNoWork(t *testing.T) {
 	f := newFleet(t)
 	c := f.caller(0)
 	b := submit(t, f, c, "killed", 600, 16)
@@ -141,7 +140,7 @@
 				started[n] <- struct{}{}
 			})
 			if err == nil && got.String() != standin.AnswerText(p, tokens) {
-				err = fmt.Errorf("answer %d is not the engine's", n)
+				err = fmt.Errorf("answer %d differs from the engine's", n)
 			}
 			answers <- err
 		}()
@@ -155,51 +154,51 @@
 			t.Error(err)
 		}
 	}
-	b = wait(t, f, c, b)
+	b = waitJob(t, f, c, b)
 	if b.RequestCounts.Completed != 600 {
 		t.Fatalf("counts %+v", b.RequestCounts)
 	}
 	checkJob(t, c, b, "killed", 600, 16)
 }
 
-// Symptom: a job stops or loses results when an entry host dies right after it
-// acknowledged work. Sequence: entry 0 accepts a job, an entry that owns
-// partitions is killed, and the platform's list drops it. Cause guarded against:
-// acceptance kept in the memory of one host.
-func TestEntryKilled(t *testing.T) {
+// Guards against a job that stops or loses results when an entry host dies right after
+// it acknowledged work. Entry 0 accepts a job and is killed while it owns partitions, and
+// the platform's host list removes it. The failure occurs if accepted work is held only
+// in the memory of one host.
+func TestKilledEntryLosesNoWork(t *testing.T) {
 	f := newFleet(t)
 	b := submit(t, f, f.caller(0), "entry", 600, 16)
 	f.kill("entry-0")
-	f.unlist("entry-0")
+	f.removeHost("entry-0")
 	c := f.caller(1)
-	b = wait(t, f, c, b)
+	b = waitJob(t, f, c, b)
 	if b.RequestCounts.Completed != 600 {
 		t.Fatalf("counts %+v", b.RequestCounts)
 	}
 	checkJob(t, c, b, "entry", 600, 16)
 	again := 0
-	for _, n := range f.runs() {
+	for _, n := range f.runCounts() {
 		again += n - 1
 	}
-	t.Logf("%d of 600 items were executed again after the loss of an owner", again)
-	// What agents hold is adopted, so only grants that were on their way run again.
+	t.Logf("%d of 600 items were executed again after an owner was lost", again)
+	// The new owner adopts the items that agents hold, so only grants in flight run again.
 	if again > 60 {
-		t.Errorf("%d items executed again", again)
+		t.Errorf("%d items were executed again, want at most 60", again)
 	}
 }
 
-// Symptom: items complete twice or results vanish when a paused owner wakes up.
-// Sequence: an entry is frozen while it owns partitions, the list drops it, the
-// other entry takes over and finishes the job, and the frozen one wakes up and
-// appends what it had in hand. Cause guarded against: records of a superseded
-// owner that are folded.
-func TestEntryFrozen(t *testing.T) {
+// Guards against items that complete twice and results that are lost when a paused owner
+// resumes. An entry is stopped while it owns partitions, the host list removes it, and
+// the other entry takes over and finishes the job. The stopped entry then resumes and
+// appends its pending records. The failure occurs if records of a superseded owner are
+// folded.
+func TestResumedEntryIsFenced(t *testing.T) {
 	f := newFleet(t)
 	b := submit(t, f, f.caller(1), "frozen", 600, 16)
 	f.signal("entry-0", syscall.SIGSTOP)
-	f.unlist("entry-0")
+	f.removeHost("entry-0")
 	c := f.caller(1)
-	b = wait(t, f, c, b)
+	b = waitJob(t, f, c, b)
 	f.signal("entry-0", syscall.SIGCONT)
 	if b.RequestCounts.Completed != 600 {
 		t.Fatalf("counts %+v", b.RequestCounts)
@@ -207,10 +206,10 @@
 	checkJob(t, c, b, "frozen", 600, 16)
 }
 
-// Symptom: a planned stop cuts an answer off or ends with a failure. Sequence:
-// an agent and then an entry get SIGTERM while each has an answer in progress.
-// Cause guarded against: a process that exits with requests in hand.
-func TestPlannedStops(t *testing.T) {
+// Guards against answers that are cut off, and processes that exit with an error, on a
+// planned stop. Two agents and then an entry get SIGTERM while an answer is in progress.
+// The failure occurs if a process exits before its requests complete.
+func TestGracefulStopCompletesRequests(t *testing.T) {
 	f := newFleet(t)
 	for _, name := range []string{"agent-0", "agent-1", "entry-0"} {
 		first := make(chan struct{}, 1000)
@@ -223,21 +222,21 @@
 				first <- struct{}{}
 			})
 			if err == nil && got.String() != standin.AnswerText(name, tokens) {
-				err = fmt.Errorf("answer is not the engine's")
+				err = fmt.Errorf("answer differs from the engine's")
 			}
 			done <- err
 		}()
 		<-first
 		f.signal(name, syscall.SIGTERM)
 		if err := <-done; err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("request during the stop of %s: %v", name, err)
 		}
 		if err := f.procs[name].Wait(); err != nil {
-			t.Errorf("%s: %v\n%s", name, err, f.logs[name])
+			t.Errorf("%s exited with an error: %v\n%s", name, err, f.logs[name])
 		}
 		delete(f.procs, name)
 	}
-	for id, n := range f.runs() {
+	for id, n := range f.runCounts() {
 		if n > 1 {
 			t.Errorf("request %s ran %d times", id, n)
 		}
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -21,8 +21,8 @@
 	"pumiceford/infra"
 )
 
-// bin is the folder of the built commands.
-var bin string
+// binDir is the directory of the built commands.
+var binDir string
 
 func TestMain(m *testing.M) {
 	os.Exit(run(m))
@@ -35,7 +35,7 @@
 		return 1
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	bin = dir
+	binDir = dir
 	build := exec.Command("go", "build", "-o", dir, "pumiceford/cmd/pumice-entry", "pumiceford/cmd/pumice-agent", "pumiceford/cmd/pumice-standin")
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
@@ -45,56 +45,57 @@
 	return m.Run()
 }
 
-// patience bounds every wait. It is far above what any step takes, so that a
-// slow machine changes no verdict.
-const patience = 60 * time.Second
+// waitTimeout limits every wait. It is far longer than any step takes, so a slow machine
+// does not fail a test.
+const waitTimeout = 60 * time.Second
 
 type fleet struct {
-	t       *testing.T
-	dir     string
-	procs   map[string]*exec.Cmd
-	logs    map[string]*bytes.Buffer
-	files   map[string]string
-	callers []string
-	ops     []string
-	engines []string
-	plat    string
+	t             *testing.T
+	dir           string
+	procs         map[string]*exec.Cmd
+	logs          map[string]*bytes.Buffer
+	settingsFiles map[string]string
+	callers       []string
+	ops           []string
+	engines       []string
+	platformAddr  string
 }
 
-// runHost is a loopback address of this test run alone. Ports are found free
-// before the processes bind them; on a shared address another run, or a client's
-// own port, could take one in between.
-func runHost() string {
+// loopbackHost returns a loopback address derived from the process ID, so that test runs
+// do not share one. Ports are found free before the processes bind them; on a shared
+// address another run or a client's local port could take one in between.
+func loopbackHost() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>15&0x7f, pid>>7&0xff, 1+pid&0x7f)
 }
 
-// handedOut holds the addresses given to processes: a port that was found free
-// may be found free again before its process binds it.
-var handedOut = make(map[string]bool)
+// usedAddrs holds the addresses already assigned, since a port can be found free again
+// before its process binds it.
+var usedAddrs = make(map[string]bool)
 
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	for {
-		ln, err := net.Listen("tcp", runHost()+":0")
+		ln, err := net.Listen("tcp", loopbackHost()+":0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		addr := ln.Addr().String()
 		_ = ln.Close()
-		if !handedOut[addr] {
-			handedOut[addr] = true
+		if !usedAddrs[addr] {
+			usedAddrs[addr] = true
 			return addr
 		}
 	}
 }
 
-// newFleet starts stand-ins, two entries and three agents.
+// newFleet starts the simulated external systems, two entries and three agents, and
+// confirms their configuration.
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
-	f := &fleet{t: t, dir: t.TempDir(), procs: make(map[string]*exec.Cmd), logs: make(map[string]*bytes.Buffer), files: make(map[string]string)}
+	f := &fleet{t: t, dir: t.TempDir(), procs: make(map[string]*exec.Cmd), logs: make(map[string]*bytes.Buffer), settingsFiles: make(map[string]string)}
 	t.Cleanup(f.stopAll)
-	f.plat = freeAddr(t)
+	f.platformAddr = freeAddr(t)
 	service := freeAddr(t)
 	var hosts []infra.Host
 	var engines []map[string]any
@@ -106,7 +107,7 @@
 		hosts = append(hosts, infra.Host{Name: name, Role: infra.RoleAgent, Addr: peer, DataCentre: "kakkanad-a"})
 		f.write(name, map[string]any{
 			"name": name, "data_centre": "kakkanad-a", "deployment": "guild", "listen": peer, "metrics": freeAddr(t),
-			"platform": "http://" + f.plat, "engine": "http://" + engineAddr, "seats": 8,
+			"platform": "http://" + f.platformAddr, "engine": "http://" + engineAddr, "seats": 8,
 			"services": map[string]string{"stamps": "http://" + service},
 		})
 	}
@@ -118,18 +119,18 @@
 		hosts = append(hosts, infra.Host{Name: name, Role: infra.RoleEntry, Addr: peer, DataCentre: "kakkanad-a"})
 		f.write(name, map[string]any{
 			"name": name, "data_centre": "kakkanad-a", "callers": callers, "operators": ops, "peers": peer,
-			"platform": "http://" + f.plat, "partitions": 4, "balancer_sees": "200ms",
+			"platform": "http://" + f.platformAddr, "partitions": 4, "balancer_sees": "200ms",
 			"bootstrap_operator": map[string]string{"name": "dev", "key_hash": entry.HashKey(dev.OperatorKey)},
 		})
 	}
 	f.write("standin", map[string]any{
-		"platform": map[string]any{"listen": f.plat, "hosts": hosts},
+		"platform": map[string]any{"listen": f.platformAddr, "hosts": hosts},
 		"engines":  engines,
 		"services": []map[string]any{{"listen": service}},
 	})
 	f.start("standin", "pumice-standin")
-	f.await("platform", func(ctx context.Context) error {
-		c, err := client.New("http://"+f.plat, "")
+	f.waitFor("platform", func(ctx context.Context) error {
+		c, err := client.New("http://"+f.platformAddr, "")
 		if err != nil {
 			return err
 		}
@@ -155,12 +156,12 @@
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		f.t.Fatal(err)
 	}
-	f.files[name] = path
+	f.settingsFiles[name] = path
 }
 
 func (f *fleet) start(name, command string) {
 	f.t.Helper()
-	cmd := exec.Command(filepath.Join(bin, command), f.files[name])
+	cmd := exec.Command(filepath.Join(binDir, command), f.settingsFiles[name])
 	out := &bytes.Buffer{}
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
@@ -177,7 +178,7 @@
 	}
 }
 
-// kill ends a process at once.
+// kill ends a process with SIGKILL and waits for it.
 func (f *fleet) kill(name string) {
 	f.t.Helper()
 	f.signal(name, syscall.SIGKILL)
@@ -196,10 +197,10 @@
 	}
 }
 
-// await repeats try until it succeeds.
-func (f *fleet) await(what string, try func(ctx context.Context) error) {
+// waitFor repeats try until it succeeds and fails the test after waitTimeout.
+func (f *fleet) waitFor(what string, try func(ctx context.Context) error) {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	var err error
 	for ctx.Err() == nil {
@@ -208,7 +209,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	f.t.Fatalf("%s: %v", what, err)
+	f.t.Fatalf("timed out waiting for %s: last error %v", what, err)
 }
 
 func (f *fleet) caller(n int) *client.Client {
@@ -226,7 +227,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	plan, err := dev.PlanAndConfirm(ctx, ops, "test", []config.Intent{
 		{Kind: config.SetModel, Model: dev.Model, Version: "v1"},
@@ -234,14 +235,14 @@
 		{Kind: config.AddKey, Workspace: dev.Workspace, KeyHash: entry.HashKey(dev.WorkspaceKey)},
 	})
 	if err != nil || !plan.InForce {
-		f.t.Fatalf("configuration: %v, in force %t", err, plan.InForce)
+		f.t.Fatalf("configuration plan: error %v, in force %t", err, plan.InForce)
 	}
 }
 
-// unlist takes a host off the platform's list.
-func (f *fleet) unlist(name string) {
+// removeHost removes a host from the platform's host list.
+func (f *fleet) removeHost(name string) {
 	f.t.Helper()
-	plat, err := client.New("http://"+f.plat, "")
+	plat, err := client.New("http://"+f.platformAddr, "")
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -250,8 +251,8 @@
 	}
 }
 
-// runs returns how often each request was begun, over all engines.
-func (f *fleet) runs() map[string]int {
+// runCounts returns how often each request ID was accepted, over all engines.
+func (f *fleet) runCounts() map[string]int {
 	f.t.Helper()
 	all := make(map[string]int)
 	for _, url := range f.engines {
