--- a/bench/load/batch.go
+++ b/bench/load/batch.go
@@ -26,7 +26,7 @@
 func (r *replay) dispatch(e *entry) {
 	r.after(dispatchInterval, func() { r.dispatch(e) })
 	rank := func(w *work) schedule.Item {
-		return schedule.Item{Due: w.due, Left: w.remaining, Begun: w.remaining < r.shape.RunTime}
+		return schedule.Item{Due: w.due, Left: w.remaining, Begun: w.remaining < r.scenario.RunTime}
 	}
 	slices.SortStableFunc(e.batch, func(a, b *work) int { return schedule.Compare(r.now, rank(a), rank(b)) })
 	for len(e.batch) > 0 {
--- a/bench/load/load.go
+++ b/bench/load/load.go
@@ -74,9 +74,9 @@
 // Outcome is the result of one simulation. Times to the first event count from the
 // arrival of the attempt.
 type Outcome struct {
-	Shape  string `json:"shape"`
-	Policy string `json:"policy"`
-	Batch  bool   `json:"batch"`
+	Scenario string `json:"shape"`
+	Policy   string `json:"policy"`
+	Batch    bool   `json:"batch"`
 
 	Requests       int           `json:"requests"`
 	Late           int           `json:"late"`     // first event after more than 300 ms
@@ -100,5 +100,5 @@
 // String implements fmt.Stringer.
 func (o Outcome) String() string {
 	return fmt.Sprintf("%-8s %-20s %5d requests: late %4d, refused %3d, not served %3d, moves %4d, connections %4d, load reports %7d, p50 %4d ms, p99 %4d ms; %4d items: in time %4d, seats yielded %4d",
-		o.Shape, o.Policy, o.Requests, o.Late, o.Refused, o.NotServed, o.Moves, o.ConnsOpened, o.LoadReports, o.P50.Milliseconds(), o.P99.Milliseconds(), o.Items, o.InTime, o.SeatsYielded)
+		o.Scenario, o.Policy, o.Requests, o.Late, o.Refused, o.NotServed, o.Moves, o.ConnsOpened, o.LoadReports, o.P50.Milliseconds(), o.P99.Milliseconds(), o.Items, o.InTime, o.SeatsYielded)
 }
--- a/bench/load/load_test.go
+++ b/bench/load/load_test.go
@@ -7,14 +7,14 @@
 	"pumiceford/bench/load"
 )
 
-// shortened limits a shape to four peaks, since simulating a large fleet takes long under
+// shortened limits a scenario to four peaks, since simulating a large fleet takes long under
 // the race detector.
 func shortened(s load.Shape) load.Shape {
 	s.Duration = 24 * time.Second
 	return s
 }
 
-// withoutBatch returns the shape without batch items.
+// withoutBatch returns the scenario without batch items.
 func withoutBatch(s load.Shape) load.Shape {
 	s.Items = 0
 	return s
@@ -41,12 +41,12 @@
 // a fortieth of all.
 func TestLoadReportsReduceLateRequests(t *testing.T) {
 	t.Parallel()
-	for _, shape := range []load.Shape{load.Guild, load.Ffitiad, load.Grown} {
-		shape = withoutBatch(shortened(shape))
-		seats, alone := load.Run(shape, load.Seats, 1), load.Run(shape, load.Alone, 1)
+	for _, scenario := range []load.Shape{load.Guild, load.Ffitiad, load.Grown} {
+		scenario = withoutBatch(shortened(scenario))
+		seats, alone := load.Run(scenario, load.Seats, 1), load.Run(scenario, load.Alone, 1)
 		t.Logf("\n%s\n%s", seats, alone)
 		if seats.Late*5 > alone.Late {
-			t.Errorf("%s: %d late with load reports, %d without; want at most a fifth", shape.Name, seats.Late, alone.Late)
+			t.Errorf("%s: %d late with load reports, %d without; want at most a fifth", scenario.Name, seats.Late, alone.Late)
 		}
 	}
 }
@@ -57,18 +57,18 @@
 // seats, or do not start again afterwards.
 func TestBatchUsesTroughsAndYieldsInPeaks(t *testing.T) {
 	t.Parallel()
-	for _, shape := range []load.Shape{load.Guild, load.Ffitiad} {
-		seats, naive := load.Run(shape, load.Seats, 1), load.Run(shape, load.Forward, 1)
+	for _, scenario := range []load.Shape{load.Guild, load.Ffitiad} {
+		seats, naive := load.Run(scenario, load.Seats, 1), load.Run(scenario, load.Forward, 1)
 		t.Logf("\n%s\n%s", seats, naive)
 		const lateShare = 200 // at most one request in 200 may be late
 		if seats.Late*lateShare > seats.Requests {
-			t.Errorf("%s: %d of %d first events late", shape.Name, seats.Late, seats.Requests)
+			t.Errorf("%s: %d of %d first events late", scenario.Name, seats.Late, seats.Requests)
 		}
 		if seats.InTime < seats.Items {
-			t.Errorf("%s: %d of %d items in time, want all", shape.Name, seats.InTime, seats.Items)
+			t.Errorf("%s: %d of %d items in time, want all", scenario.Name, seats.InTime, seats.Items)
 		}
 		if naive.Late < 10*seats.Late {
-			t.Errorf("%s: %d late with the naive forwarder and %d with seats, want at least ten times as many", shape.Name, naive.Late, seats.Late)
+			t.Errorf("%s: %d late with the naive forwarder and %d with seats, want at least ten times as many", scenario.Name, naive.Late, seats.Late)
 		}
 	}
 }
@@ -94,13 +94,13 @@
 // entries opened 520 connections instead of 229, and forty entries 7,825 instead of 1,674.
 func TestIdleConnectionsAreReused(t *testing.T) {
 	t.Parallel()
-	for _, shape := range []load.Shape{load.Ffitiad, load.Grown} {
-		shape = withoutBatch(shortened(shape))
-		with := load.Run(shape, load.Seats, 1)
-		without := load.Run(shape, load.Policy{Name: "idle conns ignored", IgnoreIdleConns: true}, 1)
+	for _, scenario := range []load.Shape{load.Ffitiad, load.Grown} {
+		scenario = withoutBatch(shortened(scenario))
+		with := load.Run(scenario, load.Seats, 1)
+		without := load.Run(scenario, load.Policy{Name: "idle conns ignored", IgnoreIdleConns: true}, 1)
 		t.Logf("\n%s\n%s", with, without)
 		if with.ConnsOpened*3 > without.ConnsOpened*2 || with.QueuedAtTarget > without.QueuedAtTarget*11/10+10 {
-			t.Errorf("%s: with and without idle connections: opened %d and %d, queued at the target %d and %d", shape.Name, with.ConnsOpened, without.ConnsOpened, with.QueuedAtTarget, without.QueuedAtTarget)
+			t.Errorf("%s: with and without idle connections: opened %d and %d, queued at the target %d and %d", scenario.Name, with.ConnsOpened, without.ConnsOpened, with.QueuedAtTarget, without.QueuedAtTarget)
 		}
 	}
 }
@@ -108,8 +108,8 @@
 // A simulation is deterministic for a seed.
 func TestSameSeedGivesSameOutcome(t *testing.T) {
 	t.Parallel()
-	shape := load.Guild
-	a, b := load.Run(shape, load.Seats, 7), load.Run(shape, load.Seats, 7)
+	scenario := load.Guild
+	a, b := load.Run(scenario, load.Seats, 7), load.Run(scenario, load.Seats, 7)
 	if a.String() != b.String() {
 		t.Fatalf("outcomes of one seed differ:\n%s\n%s", a, b)
 	}
@@ -123,12 +123,12 @@
 // and take five times as many messages.
 func TestLargeFleetNeedsFewReports(t *testing.T) {
 	t.Parallel()
-	shape := load.Large
-	shape.Duration = 12 * time.Second // two peaks; more take long under the race detector
-	part := load.Run(shape, load.Part, 1)
+	scenario := load.Large
+	scenario.Duration = 12 * time.Second // two peaks; more take long under the race detector
+	part := load.Run(scenario, load.Part, 1)
 	more := load.Part
 	more.MaxWatched, more.MinReportInterval = 64, 0
-	many := load.Run(shape, more, 1)
+	many := load.Run(scenario, more, 1)
 	t.Logf("\n%s\n%s", part, many)
 	const lateShare = 500 // at most one request in 500 may be late
 	if part.Late*lateShare > part.Requests {
@@ -144,15 +144,15 @@
 // failure has not been seen.
 func TestPartialReportsServeEachFleetSize(t *testing.T) {
 	t.Parallel()
-	for _, shape := range []load.Shape{load.Guild, load.Ffitiad, load.Grown} {
-		shape = shortened(shape)
-		part, all := load.Run(shape, load.Part, 1), load.Run(shape, load.Seats, 1)
+	for _, scenario := range []load.Shape{load.Guild, load.Ffitiad, load.Grown} {
+		scenario = shortened(scenario)
+		part, all := load.Run(scenario, load.Part, 1), load.Run(scenario, load.Seats, 1)
 		t.Logf("\n%s\n%s", part, all)
 		if part.Late > all.Late+2 || part.ConnsOpened > all.ConnsOpened*11/10 {
-			t.Errorf("%s: with partial and all load reports: late %d and %d, connections %d and %d", shape.Name, part.Late, all.Late, part.ConnsOpened, all.ConnsOpened)
+			t.Errorf("%s: with partial and all load reports: late %d and %d, connections %d and %d", scenario.Name, part.Late, all.Late, part.ConnsOpened, all.ConnsOpened)
 		}
 		if part.InTime < part.Items {
-			t.Errorf("%s: %d of %d items in time, want all", shape.Name, part.InTime, part.Items)
+			t.Errorf("%s: %d of %d items in time, want all", scenario.Name, part.InTime, part.Items)
 		}
 	}
 }
--- a/bench/load/online.go
+++ b/bench/load/online.go
@@ -27,7 +27,7 @@
 	}
 	w.target = r.byID[id]
 	w.entry.table.Began(r.now, id)
-	if w.target.active >= r.shape.Slots {
+	if w.target.active >= r.scenario.Slots {
 		r.out.QueuedAtTarget++
 	}
 	r.submit(w)
@@ -76,7 +76,7 @@
 	}
 	table.Began(r.now, c.Instance.ID)
 	t := r.byID[c.Instance.ID]
-	granted := t.active+t.reservedSlots < r.shape.Slots && len(t.queue) == 0
+	granted := t.active+t.reservedSlots < r.scenario.Slots && len(t.queue) == 0
 	if granted {
 		t.reservedSlots++
 	}
--- a/bench/load/overload_test.go
+++ b/bench/load/overload_test.go
@@ -7,7 +7,7 @@
 	"pumiceford/bench/load"
 )
 
-// overloaded sets a shape's peak rate so that peaks need the given part of all slots.
+// overloaded sets a scenario's peak rate so that peaks need the given part of all slots.
 func overloaded(s load.Shape, part float64) load.Shape {
 	s.Duration = 12 * time.Second
 	s.PeakRate = float64(s.Targets*s.Slots) / s.HoldTime.Seconds() * part
@@ -48,12 +48,12 @@
 // need nine tenths of all slots. The failure has not been seen.
 func TestNearFullPeakRefusesFewRequests(t *testing.T) {
 	t.Parallel()
-	for _, shape := range []load.Shape{load.Guild, load.Grown} {
-		o := load.Run(overloaded(shape, 0.9), load.Admit, 1)
+	for _, scenario := range []load.Shape{load.Guild, load.Grown} {
+		o := load.Run(overloaded(scenario, 0.9), load.Admit, 1)
 		t.Logf("\n%s", o)
 		const share = 100 // at most two requests in 100 may be refused or late
 		if (o.Refused+o.Late)*share > o.Requests*2 {
-			t.Errorf("%s: %d refused and %d late of %d requests", shape.Name, o.Refused, o.Late, o.Requests)
+			t.Errorf("%s: %d refused and %d late of %d requests", scenario.Name, o.Refused, o.Late, o.Requests)
 		}
 	}
 }
--- a/bench/load/plot.go
+++ b/bench/load/plot.go
@@ -36,7 +36,7 @@
 		}
 		line.Color, line.Dashes = plotutil.Color(n), plotutil.Dashes(n)
 		p.Add(line)
-		name := o.Shape + ", " + o.Policy
+		name := o.Scenario + ", " + o.Policy
 		if !o.Batch {
 			name += ", no batch"
 		}
--- a/bench/load/replay.go
+++ b/bench/load/replay.go
@@ -32,7 +32,7 @@
 // replay is the state of one simulation.
 type replay struct {
 	timeline
-	shape       Shape
+	scenario    Shape
 	policy      Policy
 	start       time.Time
 	targets     []*target
@@ -126,36 +126,36 @@
 	seat      uint64
 }
 
-// Run simulates a shape under a policy. The same seed gives the same arrivals under
+// Run simulates a scenario under a policy. The same seed gives the same arrivals under
 // every policy.
-func Run(shape Shape, policy Policy, seed uint64) Outcome {
+func Run(scenario Shape, policy Policy, seed uint64) Outcome {
 	r := &replay{
-		shape: shape, policy: policy, byID: make(map[string]*target),
+		scenario: scenario, policy: policy, byID: make(map[string]*target),
 		choiceRand: rand.New(rand.NewPCG(seed, 1)), arrivalRand: rand.New(rand.NewPCG(seed, 2)), itemRand: rand.New(rand.NewPCG(seed, 3)),
-		out: Outcome{Shape: shape.Name, Policy: policy.Name, Batch: shape.Items > 0},
+		out: Outcome{Scenario: scenario.Name, Policy: policy.Name, Batch: scenario.Items > 0},
 	}
 	r.start = time.Unix(1000, 0)
 	r.now = r.start
 	r.setUp()
 	r.arriveRequest()
-	if shape.Items > 0 {
+	if scenario.Items > 0 {
 		r.arriveItem()
 	}
-	r.runUntil(r.start.Add(shape.Duration))
+	r.runUntil(r.start.Add(scenario.Duration))
 	r.summarise()
 	return r.out
 }
 
 func (r *replay) setUp() {
 	var all []targets.Instance
-	for i := range r.shape.Targets {
+	for i := range r.scenario.Targets {
 		t := &target{
-			id: fmt.Sprint("i", i), slow: r.shape.MixedSpeeds && i%3 == 0,
-			arbiter: seats.NewArbiter(r.shape.Slots, seats.Reserve(fmt.Sprint("host", i))), workBySeat: make(map[uint64]*work),
+			id: fmt.Sprint("i", i), slow: r.scenario.MixedSpeeds && i%3 == 0,
+			arbiter: seats.NewArbiter(r.scenario.Slots, seats.Reserve(fmt.Sprint("host", i))), workBySeat: make(map[uint64]*work),
 		}
 		r.targets = append(r.targets, t)
 		r.byID[t.id] = t
-		all = append(all, targets.Instance{ID: t.id, Service: "s", Slots: r.shape.Slots})
+		all = append(all, targets.Instance{ID: t.id, Service: "s", Slots: r.scenario.Slots})
 		if !r.policy.NoLoadReports && !r.policy.NaiveForwarding {
 			r.after(time.Duration(i)*time.Millisecond/2, func() { r.report(t) })
 		}
@@ -164,7 +164,7 @@
 	for _, in := range all {
 		ids = append(ids, in.ID)
 	}
-	for e := range r.shape.Entries {
+	for e := range r.scenario.Entries {
 		en := &entry{table: balance.NewTable(uint64(e)), conns: make(map[string]*connCount), ownRequests: make(map[string]int)}
 		en.table.Replace(all)
 		r.entries = append(r.entries, en)
@@ -195,7 +195,7 @@
 		r.after(networkDelay, func() { r.yield(w, id) })
 	}
 	rep := balance.Report{
-		Active: load.Active, Queued: load.Queued, Batch: t.arbiter.Held(), Slots: r.shape.Slots,
+		Active: load.Active, Queued: load.Queued, Batch: t.arbiter.Held(), Slots: r.scenario.Slots,
 		Room: max(t.arbiter.Room(r.now), 0), Spare: max(t.arbiter.Spare(r.now), 0),
 	}
 	for _, l := range t.listeners {
@@ -217,9 +217,9 @@
 }
 
 func (r *replay) arriveRequest() {
-	rate := r.shape.TroughRate
+	rate := r.scenario.TroughRate
 	if r.now.Sub(r.start)%cycleTime > troughTime {
-		rate = r.shape.PeakRate
+		rate = r.scenario.PeakRate
 	}
 	w := &work{entry: r.entries[r.arrivalRand.IntN(len(r.entries))], arrived: r.now}
 	next := time.Duration(r.arrivalRand.ExpFloat64() / rate * float64(time.Second))
@@ -231,10 +231,10 @@
 func (r *replay) arriveItem() {
 	w := &work{
 		entry: r.entries[r.itemRand.IntN(len(r.entries))], batch: true, arrived: r.now,
-		due: r.now.Add(r.shape.DueWithin), remaining: r.shape.RunTime,
+		due: r.now.Add(r.scenario.DueWithin), remaining: r.scenario.RunTime,
 	}
-	next := time.Duration(r.itemRand.ExpFloat64() / r.shape.Items * float64(time.Second))
-	if w.due.Before(r.start.Add(r.shape.Duration)) {
+	next := time.Duration(r.itemRand.ExpFloat64() / r.scenario.Items * float64(time.Second))
+	if w.due.Before(r.start.Add(r.scenario.Duration)) {
 		r.out.Items++
 	}
 	if r.policy.NaiveForwarding {
@@ -301,12 +301,12 @@
 
 // admit starts queued work in order while the target has free slots.
 func (r *replay) admit(t *target) {
-	for t.active+t.reservedSlots < r.shape.Slots && len(t.queue) > 0 {
+	for t.active+t.reservedSlots < r.scenario.Slots && len(t.queue) > 0 {
 		w := t.queue[0]
 		t.queue = t.queue[1:]
 		t.active++
 		w.running, w.started = true, r.now
-		placement, hold, first := w.placement, r.shape.HoldTime, firstEventDelay
+		placement, hold, first := w.placement, r.scenario.HoldTime, firstEventDelay
 		if w.batch {
 			hold = w.remaining
 		}
@@ -340,7 +340,7 @@
 	r.release(w, true)
 	if w.batch {
 		t.releaseSeat(w)
-		if !r.now.After(w.due) && w.due.Before(r.start.Add(r.shape.Duration)) {
+		if !r.now.After(w.due) && w.due.Before(r.start.Add(r.scenario.Duration)) {
 			r.out.InTime++
 		}
 	}
@@ -374,6 +374,6 @@
 		const half, hundredth = 2, 100
 		o.P50, o.P99 = o.FirstEventTimes[n/half], o.FirstEventTimes[n-1-n/hundredth]
 	}
-	slots := float64(r.shape.Targets*r.shape.Slots) * r.shape.Duration.Seconds()
+	slots := float64(r.scenario.Targets*r.scenario.Slots) * r.scenario.Duration.Seconds()
 	o.SlotUse = r.slotTime.Seconds() / slots
 }
--- a/standin/sharedstore/sharedstore.go
+++ b/standin/sharedstore/sharedstore.go
@@ -25,7 +25,7 @@
 	Late             // an append is tried after LateBy and gets no response
 )
 
-// LateBy is the delay of an append under the fault Late.
+// LateBy is how long a late append is delayed.
 const LateBy = 2 * time.Second
 
 // Store is the simulated store. Use New; the zero value is not usable.
@@ -207,11 +207,11 @@
 
 // beginCall counts a call and applies the fault of the host or of the partitions. It
 // returns the fault and no error if the call is still to be executed.
-func (f *Face) beginCall(ctx context.Context, parts ...store.Partition) (Fault, error) {
-	s := f.store
+func (c *Face) beginCall(ctx context.Context, parts ...store.Partition) (Fault, error) {
+	s := c.store
 	s.mu.Lock()
 	s.calls++
-	fault := s.hostFaults[f.host]
+	fault := s.hostFaults[c.host]
 	for _, p := range parts {
 		if s.partitionFaults[p] != None {
 			fault = s.partitionFaults[p]
@@ -230,30 +230,30 @@
 }
 
 // beginRead is beginCall for a read, which counts towards the limit on reads.
-func (f *Face) beginRead(ctx context.Context, p store.Partition) error {
-	if _, err := f.beginCall(ctx, p); err != nil {
+func (c *Face) beginRead(ctx context.Context, p store.Partition) error {
+	if _, err := c.beginCall(ctx, p); err != nil {
 		return err
 	}
-	f.store.mu.Lock()
-	defer f.store.mu.Unlock()
-	if !f.store.reads.take(time.Now()) {
+	c.store.mu.Lock()
+	defer c.store.mu.Unlock()
+	if !c.store.reads.take(time.Now()) {
 		return store.ErrRefused
 	}
 	return nil
 }
 
 // Append implements store.Log.
-func (f *Face) Append(ctx context.Context, p store.Partition, recs []store.Record, at int64) (int64, error) {
-	fault, err := f.beginCall(ctx, p)
+func (c *Face) Append(ctx context.Context, p store.Partition, recs []store.Record, at int64) (int64, error) {
+	fault, err := c.beginCall(ctx, p)
 	if err != nil {
 		return 0, err
 	}
 	if fault == Late {
-		time.AfterFunc(LateBy, func() { _, _ = f.store.append(p, recs, at) })
+		time.AfterFunc(LateBy, func() { _, _ = c.store.append(p, recs, at) })
 		<-ctx.Done()
 		return 0, errors.Mark(ctx.Err(), store.ErrUnavailable)
 	}
-	end, err := f.store.append(p, recs, at)
+	end, err := c.store.append(p, recs, at)
 	if fault == LoseAnswer {
 		<-ctx.Done()
 		return 0, errors.Mark(ctx.Err(), store.ErrUnavailable)
@@ -272,20 +272,20 @@
 }
 
 // Read implements store.Log.
-func (f *Face) Read(ctx context.Context, p store.Partition, from int64, wait time.Duration) (store.Page, error) {
-	if err := f.beginRead(ctx, p); err != nil {
+func (c *Face) Read(ctx context.Context, p store.Partition, from int64, wait time.Duration) (store.Page, error) {
+	if err := c.beginRead(ctx, p); err != nil {
 		return store.Page{}, err
 	}
 	until := time.NewTimer(wait)
 	defer until.Stop()
 	for {
-		page, changed, err := f.store.page(p, from)
+		page, changed, err := c.store.page(p, from)
 		if err != nil || len(page.Records) > 0 || wait <= 0 {
 			return page, err
 		}
 		select {
 		case <-changed:
-			if f.unresponsive(p) {
+			if c.unresponsive(p) {
 				// A pending read gets no response even if the fault is cleared later.
 				<-ctx.Done()
 				return page, errors.Mark(ctx.Err(), store.ErrUnavailable)
@@ -298,10 +298,10 @@
 	}
 }
 
-func (f *Face) unresponsive(p store.Partition) bool {
-	f.store.mu.Lock()
-	defer f.store.mu.Unlock()
-	return f.store.hostFaults[f.host] == Silent || f.store.partitionFaults[p] == Silent
+func (c *Face) unresponsive(p store.Partition) bool {
+	c.store.mu.Lock()
+	defer c.store.mu.Unlock()
+	return c.store.hostFaults[c.host] == Silent || c.store.partitionFaults[p] == Silent
 }
 
 func (s *Store) page(p store.Partition, from int64) (store.Page, chan struct{}, error) {
@@ -322,11 +322,11 @@
 const newestPageKeys = 500
 
 // Newest implements store.Log.
-func (f *Face) Newest(ctx context.Context, p store.Partition, after string) (store.Snapshot, error) {
-	if err := f.beginRead(ctx, p); err != nil {
+func (c *Face) Newest(ctx context.Context, p store.Partition, after string) (store.Snapshot, error) {
+	if err := c.beginRead(ctx, p); err != nil {
 		return store.Snapshot{}, err
 	}
-	s := f.store
+	s := c.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.logLocked(p)
@@ -348,11 +348,11 @@
 }
 
 // Join implements store.Groups.
-func (f *Face) Join(ctx context.Context, req store.JoinRequest) (store.Membership, error) {
-	if _, err := f.beginCall(ctx); err != nil {
+func (c *Face) Join(ctx context.Context, req store.JoinRequest) (store.Membership, error) {
+	if _, err := c.beginCall(ctx); err != nil {
 		return store.Membership{}, err
 	}
-	s := f.store
+	s := c.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g := s.groups[req.Group]
@@ -420,11 +420,11 @@
 }
 
 // Leave implements store.Groups.
-func (f *Face) Leave(ctx context.Context, name, member string) error {
-	if _, err := f.beginCall(ctx); err != nil {
+func (c *Face) Leave(ctx context.Context, name, member string) error {
+	if _, err := c.beginCall(ctx); err != nil {
 		return err
 	}
-	s := f.store
+	s := c.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if g := s.groups[name]; g != nil {
@@ -435,11 +435,11 @@
 }
 
 // Owners implements store.Groups.
-func (f *Face) Owners(ctx context.Context, name string) ([]store.Owner, error) {
-	if _, err := f.beginCall(ctx); err != nil {
+func (c *Face) Owners(ctx context.Context, name string) ([]store.Owner, error) {
+	if _, err := c.beginCall(ctx); err != nil {
 		return nil, err
 	}
-	s := f.store
+	s := c.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []store.Owner
@@ -452,8 +452,8 @@
 }
 
 // Kept returns the number of keys in a partition, regardless of faults.
-func (f *Face) Kept(p store.Partition) int {
-	f.store.mu.Lock()
-	defer f.store.mu.Unlock()
-	return len(f.store.logLocked(p).newest)
+func (c *Face) Kept(p store.Partition) int {
+	c.store.mu.Lock()
+	defer c.store.mu.Unlock()
+	return len(c.store.logLocked(p).newest)
 }
