--- a/standin/sharedstore/sharedstore.go
+++ b/standin/sharedstore/sharedstore.go
@@ -16,7 +16,7 @@
 // Fault is a fault injected into the calls of a host or to a partition.
 type Fault int
 
-// The faults.
+// The values of Fault.
 const (
 	None       Fault = iota
 	Refuse           // the call is refused without effect
