--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,11 +1,12 @@
-// Package admission decides what an agent hands to its engine, and when.
+// Package admission decides which entries an agent starts on its engine, and when.
 //
-// The engine admits in arrival order and knows no priority, so a queue inside it
-// would put online requests behind batch items. The agent therefore holds every
-// request itself and hands over only what the engine runs at once. Online goes
-// first. Batch gets the seats that are left under a limit that follows from
-// measured step times. The package is pure: events and the time come in, actions
-// come out.
+// The engine serves requests in arrival order and has no priorities, so a queue
+// inside it would put online requests behind batch items. The agent therefore
+// queues every request itself and starts only as many as the engine runs at the
+// same time. Online entries go first. Batch entries get the remaining seats, up to
+// a limit that is derived from measured step times. The package does no I/O and
+// reads no clock: callers pass in events and the time and carry out the actions
+// that it returns.
 package admission
 
 import (
@@ -13,204 +14,211 @@
 	"time"
 )
 
-// Class is the class of an entry.
+// Class is the priority class of an entry.
 type Class int
 
-// The classes.
+// The classes. Online entries preempt batch entries.
 const (
 	Online Class = iota
 	Batch
 )
 
-// Entry is one request or batch item that wants a seat.
+// Entry is one request or batch item that needs a seat.
 type Entry struct {
 	ID        string
 	Class     Class
 	Workspace string
-	Weight    float64 // the workspace's share
-	Cost      float64 // expected tokens
-	Blocks    int     // KV blocks while it runs
-	Alone     bool    // batch only: no other batch item may run beside it
-	Deadline  time.Time
-	// Ref is the caller's own; admission does not look at it.
+	Weight    float64   // fair-queueing weight of the workspace; 1 if not positive
+	Cost      float64   // expected tokens, prompt included
+	Blocks    int       // KV cache blocks reserved while it runs
+	Alone     bool      // batch only: no other batch item may run beside it
+	Deadline  time.Time // online only: rejected if not started by then; zero for none
+	// Ref identifies the entry to the caller. Admission does not read it.
 	Ref any
 
-	item     *fairItem
-	started  time.Time
-	progress uint32
+	queueItem *fairItem
+	started   time.Time
+	progress  uint32 // tokens generated so far
 }
 
-// Settings shape an Admission.
+// Settings configures an Admission.
 type Settings struct {
 	// Seats is how many sequences the engine runs in one step.
 	Seats int
-	// Blocks is how many KV blocks the engine has. 0 means no limit.
+	// Blocks is how many KV cache blocks the engine has. 0 means no limit.
 	Blocks int
-	// Harm is how much longer a step may get by batch while online requests
-	// run, as a share: 0.02 near Ffitiad Gwyn's side, 0.25 near the Guild's.
+	// Harm is the largest relative increase of the step time that batch may
+	// cause while online entries run. Fleets that favour online latency use
+	// about 0.02, fleets that favour batch throughput about 0.25.
 	Harm float64
-	// BurstWindow is the time for which arrivals are predicted and seats kept
-	// free, default 50 ms.
+	// BurstWindow is how far ahead online arrivals are predicted and seats kept
+	// free for them, default 50 ms.
 	BurstWindow time.Duration
-	// MaxQueue bounds the online entries that wait, default 8 times Seats.
+	// MaxQueue is the maximum number of queued online entries, default 8 times Seats.
 	MaxQueue int
 }
 
-// Defaults of Settings.
+// Defaults of Settings, and the parameters of the estimators. Step times are in
+// seconds.
 const (
-	defaultBurstWindow   = 50 * time.Millisecond
-	defaultQueuePerSeat  = 8
-	rateSmoothing        = 0.2 // weight of the newest interval in the arrival rate
-	burstDeviations      = 2.0 // seats kept free for mean plus this many deviations
-	initialStepBase      = 2e-3
-	initialStepPerSeq    = 3e-5
-	regressionForgetting = 0.995
+	defaultBurstWindow     = 50 * time.Millisecond
+	defaultMaxQueuePerSeat = 8
+	smoothingFactor        = 0.2 // weight of the newest sample in a moving average
+	burstDeviations        = 2.0 // standard deviations above the mean arrivals to keep seats free for
+	initialStepBase        = 2e-3
+	initialStepPerSeq      = 3e-5
+	forgettingFactor       = 0.995
 )
 
-// ActionKind is what to do with an entry.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	Start ActionKind = iota + 1
-	Preempt
-	Reject // its deadline cannot be met any more
+	Start   ActionKind = iota + 1
+	Preempt            // stop the entry; it is queued again
+	Reject             // the deadline passed in the queue
 )
 
-// Action is one decision.
+// Action tells the caller what to do with an entry.
 type Action struct {
 	Kind  ActionKind
 	Entry *Entry
 }
 
-// Admission is the decision state of one agent. It is not safe for concurrent use.
+// Admission holds the queued and running entries of one agent and decides which of
+// them run. It is not safe for concurrent use.
 type Admission struct {
-	set       Settings
-	online    *fairQueue
-	batch     *fairQueue
-	running   map[string]*Entry
-	nOnline   int
-	nBatch    int
-	blocks    int
-	alone     *Entry
-	steps     regression
-	arrivals  arrivalRate
-	holdUntil time.Time
-	service   float64 // smoothed seconds an online entry runs
-}
-
-// New returns an Admission.
-func New(set Settings) *Admission {
-	if set.BurstWindow == 0 {
-		set.BurstWindow = defaultBurstWindow
+	settings       Settings
+	online         *fairQueue
+	batch          *fairQueue
+	running        map[string]*Entry
+	onlineRunning  int
+	batchRunning   int
+	blocksInUse    int
+	exclusive      *Entry
+	stepTime       regression
+	arrivals       arrivalPredictor
+	batchHeldUntil time.Time
+	serviceTime    float64 // moving average of the run time of online entries, in seconds
+}
+
+// New returns an Admission without entries. A zero BurstWindow or MaxQueue takes its
+// default.
+func New(settings Settings) *Admission {
+	if settings.BurstWindow == 0 {
+		settings.BurstWindow = defaultBurstWindow
 	}
-	if set.MaxQueue == 0 {
-		set.MaxQueue = defaultQueuePerSeat * set.Seats
+	if settings.MaxQueue == 0 {
+		settings.MaxQueue = defaultMaxQueuePerSeat * settings.Seats
 	}
 	return &Admission{
-		set:     set,
-		online:  newFairQueue(),
-		batch:   newFairQueue(),
-		running: make(map[string]*Entry),
+		settings: settings,
+		online:   newFairQueue(),
+		batch:    newFairQueue(),
+		running:  make(map[string]*Entry),
 	}
 }
 
-// Offer takes a new entry. It reports false for an online entry when the queue
-// is full, or when the wait it expects is longer than the entry's deadline
-// allows; the caller gets its answer at once and is told to come back after
-// RetryAfter.
+// Offer queues a new entry. It reports false for an online entry if the queue is
+// full or if the expected wait ends after the entry's deadline, so that the caller
+// can refuse the request at once and tell its client to retry after RetryAfter. It
+// always accepts a batch entry.
 func (a *Admission) Offer(now time.Time, e *Entry) bool {
 	if e.Class == Batch {
 		a.batch.push(e)
 		return true
 	}
-	a.arrivals.note(now)
-	if a.online.len() >= a.set.MaxQueue {
+	a.arrivals.observe(now)
+	if a.online.len() >= a.settings.MaxQueue {
 		return false
 	}
-	if !e.Deadline.IsZero() && now.Add(a.wait()).After(e.Deadline) {
+	if !e.Deadline.IsZero() && now.Add(a.expectedWait()).After(e.Deadline) {
 		return false
 	}
 	a.online.push(e)
 	return true
 }
 
-// HoldBatch starts no batch entry before until.
+// HoldBatch prevents batch entries from starting before until.
 func (a *Admission) HoldBatch(until time.Time) {
-	a.holdUntil = until
+	a.batchHeldUntil = until
 }
 
-// SetHarm changes the tolerated harm.
-func (a *Admission) SetHarm(harm float64) {
-	a.set.Harm = harm
+// SetHarm changes the tolerated relative increase of the step time.
+func (a *Admission) SetHarm(maxSlowdown float64) {
+	a.settings.Harm = maxSlowdown
 }
 
-// wait estimates how long a new online entry waits for a seat.
-func (a *Admission) wait() time.Duration {
-	ahead := a.online.len() + a.nOnline - a.set.Seats + 1
+// expectedWait estimates how long a new online entry waits for a seat.
+func (a *Admission) expectedWait() time.Duration {
+	ahead := a.online.len() + a.onlineRunning - a.settings.Seats + 1
 	if ahead <= 0 {
 		return 0
 	}
-	return time.Duration(float64(ahead) / float64(a.set.Seats) * a.service * float64(time.Second))
+	return time.Duration(float64(ahead) / float64(a.settings.Seats) * a.serviceTime * float64(time.Second))
 }
 
-// RetryAfter tells a refused caller when a seat is likely.
+// RetryAfter returns how long a refused client should wait before it retries: the
+// time until a seat is expected to be free, and at least 50 ms.
 func (a *Admission) RetryAfter() time.Duration {
-	const least = 50 * time.Millisecond
-	return max(least, a.wait())
+	const minRetryAfter = 50 * time.Millisecond
+	return max(minRetryAfter, a.expectedWait())
 }
 
-// Next returns what to do now. The state already reflects the actions returned.
+// Next returns the actions to carry out now. The Admission already counts them as
+// done.
 func (a *Admission) Next(now time.Time) []Action {
-	var acts []Action
-	acts = a.startOnline(now, acts)
-	acts = a.shedBatch(acts)
-	return a.startBatch(now, acts)
+	var actions []Action
+	actions = a.startOnline(now, actions)
+	actions = a.preemptExcessBatch(actions)
+	return a.startBatch(now, actions)
 }
 
-func (a *Admission) startOnline(now time.Time, acts []Action) []Action {
+func (a *Admission) startOnline(now time.Time, actions []Action) []Action {
 	for a.online.len() > 0 {
 		e := a.online.peek()
 		if !e.Deadline.IsZero() && now.After(e.Deadline) {
 			a.online.pop()
-			acts = append(acts, Action{Kind: Reject, Entry: e})
+			actions = append(actions, Action{Kind: Reject, Entry: e})
 			continue
 		}
-		if a.nOnline >= a.set.Seats {
-			return acts
+		if a.onlineRunning >= a.settings.Seats {
+			return actions
 		}
 		var ok bool
-		if acts, ok = a.makeRoom(e, acts); !ok {
-			return acts
+		if actions, ok = a.makeRoom(e, actions); !ok {
+			return actions
 		}
 		a.online.pop()
-		a.begin(now, e)
-		acts = append(acts, Action{Kind: Start, Entry: e})
+		a.addRunning(now, e)
+		actions = append(actions, Action{Kind: Start, Entry: e})
 	}
-	return acts
+	return actions
 }
 
-// makeRoom preempts batch until an online entry fits.
-func (a *Admission) makeRoom(e *Entry, acts []Action) ([]Action, bool) {
+// makeRoom preempts batch entries until e fits. It reports false if e does not fit
+// and no batch entry is left.
+func (a *Admission) makeRoom(e *Entry, actions []Action) ([]Action, bool) {
 	for !a.fits(e) {
 		victim := a.victim()
 		if victim == nil {
-			return acts, false
+			return actions, false
 		}
-		acts = a.preempt(victim, acts)
+		actions = a.preempt(victim, actions)
 	}
-	return acts, true
+	return actions, true
 }
 
 func (a *Admission) fits(e *Entry) bool {
-	if len(a.running) >= a.set.Seats {
+	if len(a.running) >= a.settings.Seats {
 		return false
 	}
-	return a.set.Blocks == 0 || a.blocks+e.Blocks <= a.set.Blocks
+	return a.settings.Blocks == 0 || a.blocksInUse+e.Blocks <= a.settings.Blocks
 }
 
-// victim returns the running batch entry with the least progress, so that the
-// least work is lost.
+// victim returns the running batch entry with the fewest tokens, so that preemption
+// loses the least work. It returns nil if no batch entry runs.
 func (a *Admission) victim() *Entry {
 	var best *Entry
 	for _, e := range a.running {
@@ -224,94 +232,97 @@
 	return best
 }
 
-func (a *Admission) preempt(e *Entry, acts []Action) []Action {
-	a.end(e)
+func (a *Admission) preempt(e *Entry, actions []Action) []Action {
+	a.removeRunning(e)
 	a.batch.pushFront(e)
-	return append(acts, Action{Kind: Preempt, Entry: e})
+	return append(actions, Action{Kind: Preempt, Entry: e})
 }
 
-// shedBatch preempts batch above the limit for the online entries that run now.
-func (a *Admission) shedBatch(acts []Action) []Action {
-	limit := a.harmLimit()
-	for a.nBatch > limit {
-		acts = a.preempt(a.victim(), acts)
+// preemptExcessBatch preempts batch entries above the limit that applies with the
+// current number of online entries.
+func (a *Admission) preemptExcessBatch(actions []Action) []Action {
+	limit := a.slowdownLimit()
+	for a.batchRunning > limit {
+		actions = a.preempt(a.victim(), actions)
 	}
-	return acts
+	return actions
 }
 
-// harmLimit is how many batch entries keep the step within the tolerated harm.
-func (a *Admission) harmLimit() int {
-	if a.nOnline == 0 {
-		return a.set.Seats
+// slowdownLimit returns how many batch entries may run beside the running online
+// entries without lengthening a step by more than the tolerated increase.
+func (a *Admission) slowdownLimit() int {
+	if a.onlineRunning == 0 {
+		return a.settings.Seats
 	}
-	base, slope := a.steps.fit()
+	base, slope := a.stepTime.fit()
 	if slope <= 0 {
-		return a.set.Seats
+		return a.settings.Seats
 	}
-	step := base + slope*float64(a.nOnline)
-	return int(a.set.Harm * step / slope)
+	step := base + slope*float64(a.onlineRunning)
+	return int(a.settings.Harm * step / slope)
 }
 
-// startLimit is how many batch entries may run before another one starts: the
-// harm limit, less the seats kept free for the burst that arrivals predict.
+// startLimit returns the number of running batch entries at which no further one
+// starts: the slowdown limit, or fewer if seats must stay free for the predicted
+// online arrivals.
 func (a *Admission) startLimit(now time.Time) int {
-	free := a.set.Seats - a.nOnline - a.arrivals.reserve(now, a.set.BurstWindow)
-	return min(a.harmLimit(), free)
+	free := a.settings.Seats - a.onlineRunning - a.arrivals.seatsToReserve(now, a.settings.BurstWindow)
+	return min(a.slowdownLimit(), free)
 }
 
-func (a *Admission) startBatch(now time.Time, acts []Action) []Action {
-	if now.Before(a.holdUntil) {
-		return acts
+func (a *Admission) startBatch(now time.Time, actions []Action) []Action {
+	if now.Before(a.batchHeldUntil) {
+		return actions
 	}
 	limit := a.startLimit(now)
-	for a.batch.len() > 0 && a.nBatch < limit && a.alone == nil && a.online.len() == 0 {
+	for a.batch.len() > 0 && a.batchRunning < limit && a.exclusive == nil && a.online.len() == 0 {
 		e := a.batch.peek()
-		if !a.fits(e) || (e.Alone && a.nBatch > 0) {
-			return acts
+		if !a.fits(e) || (e.Alone && a.batchRunning > 0) {
+			return actions
 		}
 		a.batch.pop()
-		a.begin(now, e)
-		acts = append(acts, Action{Kind: Start, Entry: e})
+		a.addRunning(now, e)
+		actions = append(actions, Action{Kind: Start, Entry: e})
 	}
-	return acts
+	return actions
 }
 
-func (a *Admission) begin(now time.Time, e *Entry) {
+func (a *Admission) addRunning(now time.Time, e *Entry) {
 	e.started = now
 	a.running[e.ID] = e
-	a.blocks += e.Blocks
+	a.blocksInUse += e.Blocks
 	if e.Class == Online {
-		a.nOnline++
+		a.onlineRunning++
 		return
 	}
-	a.nBatch++
+	a.batchRunning++
 	if e.Alone {
-		a.alone = e
+		a.exclusive = e
 	}
 }
 
-func (a *Admission) end(e *Entry) bool {
+func (a *Admission) removeRunning(e *Entry) bool {
 	if a.running[e.ID] != e {
 		return false
 	}
 	delete(a.running, e.ID)
-	a.blocks -= e.Blocks
+	a.blocksInUse -= e.Blocks
 	if e.Class == Online {
-		a.nOnline--
+		a.onlineRunning--
 		return true
 	}
-	a.nBatch--
-	if a.alone == e {
-		a.alone = nil
+	a.batchRunning--
+	if a.exclusive == e {
+		a.exclusive = nil
 	}
 	return true
 }
 
-// Finish takes an entry out, running or queued.
+// Finish removes an entry, whether it runs or is queued.
 func (a *Admission) Finish(now time.Time, e *Entry) {
-	if a.end(e) {
+	if a.removeRunning(e) {
 		if e.Class == Online {
-			a.noteService(now.Sub(e.started).Seconds())
+			a.observeServiceTime(now.Sub(e.started).Seconds())
 		}
 		return
 	}
@@ -322,50 +333,52 @@
 	a.batch.remove(e)
 }
 
-func (a *Admission) noteService(seconds float64) {
-	if a.service == 0 {
-		a.service = seconds
+func (a *Admission) observeServiceTime(seconds float64) {
+	if a.serviceTime == 0 {
+		a.serviceTime = seconds
 		return
 	}
-	a.service += rateSmoothing * (seconds - a.service)
+	a.serviceTime += smoothingFactor * (seconds - a.serviceTime)
 }
 
-// Progress notes how many tokens an entry has.
+// Progress records how many tokens an entry has generated.
 func (a *Admission) Progress(e *Entry, tokens uint32) {
 	e.progress = tokens
 }
 
-// NoteStep takes one measured engine step: the time between two tokens of a
-// sequence, with how many sequences ran.
+// NoteStep adds one measured engine step to the step time model: took is the time
+// between two tokens of a sequence, and running is how many sequences ran.
 func (a *Admission) NoteStep(running int, took time.Duration) {
-	a.steps.add(float64(running), took.Seconds())
+	a.stepTime.add(float64(running), took.Seconds())
 }
 
-// Counts returns running and queued entries.
+// Counts returns the numbers of running and queued entries.
 func (a *Admission) Counts() (onlineRunning, onlineQueued, batchRunning, batchQueued int) {
-	return a.nOnline, a.online.len(), a.nBatch, a.batch.len()
+	return a.onlineRunning, a.online.len(), a.batchRunning, a.batch.len()
 }
 
-// Running returns how many sequences run.
+// Running returns how many entries run.
 func (a *Admission) Running() int {
 	return len(a.running)
 }
 
-// regression fits step time = base + slope * running by least squares with
-// exponential forgetting.
+// regression fits the step time in seconds as base + slope*running by least squares
+// with exponential forgetting.
 type regression struct {
 	n, sx, sy, sxx, sxy float64
 }
 
 func (r *regression) add(x, y float64) {
-	r.n = r.n*regressionForgetting + 1
-	r.sx = r.sx*regressionForgetting + x
-	r.sy = r.sy*regressionForgetting + y
-	r.sxx = r.sxx*regressionForgetting + x*x
-	r.sxy = r.sxy*regressionForgetting + x*y
+	r.n = r.n*forgettingFactor + 1
+	r.sx = r.sx*forgettingFactor + x
+	r.sy = r.sy*forgettingFactor + y
+	r.sxx = r.sxx*forgettingFactor + x*x
+	r.sxy = r.sxy*forgettingFactor + x*y
 }
 
-// minSamples and minVariance say when a fit can be trusted.
+// With fewer than minSamples samples, fit returns the initial values. With a sum of
+// squared deviations below minVariance in the number of running sequences, the data
+// does not determine the slope, and fit returns the initial one.
 const (
 	minSamples  = 30
 	minVariance = 1.0
@@ -387,13 +400,13 @@
 	return base, slope
 }
 
-// arrivalRate predicts the arrivals of the next moment.
-type arrivalRate struct {
+// arrivalPredictor predicts the online arrivals of the near future.
+type arrivalPredictor struct {
 	last time.Time
-	gap  float64 // smoothed seconds between arrivals
+	gap  float64 // moving average of the time between arrivals, in seconds
 }
 
-func (r *arrivalRate) note(now time.Time) {
+func (r *arrivalPredictor) observe(now time.Time) {
 	if r.last.IsZero() {
 		r.last = now
 		return
@@ -404,12 +417,13 @@
 		r.gap = gap
 		return
 	}
-	r.gap += rateSmoothing * (gap - r.gap)
+	r.gap += smoothingFactor * (gap - r.gap)
 }
 
-// reserve returns how many seats to keep free for the coming window. The rate
-// decays while no one arrives.
-func (r *arrivalRate) reserve(now time.Time, window time.Duration) int {
+// seatsToReserve returns how many seats to keep free for the arrivals of the coming
+// window. It treats arrivals as a Poisson process, whose deviation is the square root
+// of the mean. The predicted rate decays while no request arrives.
+func (r *arrivalPredictor) seatsToReserve(now time.Time, window time.Duration) int {
 	if r.last.IsZero() || r.gap == 0 {
 		return 0
 	}
--- a/admission/fair.go
+++ b/admission/fair.go
@@ -2,15 +2,16 @@
 
 import "container/heap"
 
-// fairQueue orders entries by start-time fair queueing: each workspace advances
-// a virtual clock by cost over weight, and the entry with the lowest start tag
-// goes first. It is work-conserving, and a workspace that was idle gets no credit.
+// fairQueue orders entries by start-time fair queueing. Each entry moves the finish
+// tag of its workspace forward by cost over weight, and the entry with the lowest
+// start tag goes first. The queue is work-conserving, and a workspace that was idle
+// gets no credit for it.
 type fairQueue struct {
-	items  fairHeap
-	finish map[string]float64 // workspace -> finish tag of its last entry
-	clock  float64            // start tag of the entry taken last
-	seq    uint64
-	queued map[string]int
+	items       fairHeap
+	finishTags  map[string]float64 // workspace -> finish tag of its last entry
+	virtualTime float64            // highest start tag of the entries popped so far
+	seq         uint64             // breaks ties between equal start tags
+	queued      map[string]int     // workspace -> queued entries
 }
 
 type fairItem struct {
@@ -47,27 +48,28 @@
 }
 
 func newFairQueue() *fairQueue {
-	return &fairQueue{finish: make(map[string]float64), queued: make(map[string]int)}
+	return &fairQueue{finishTags: make(map[string]float64), queued: make(map[string]int)}
 }
 
 func (q *fairQueue) push(e *Entry) {
-	start := max(q.clock, q.finish[e.Workspace])
+	start := max(q.virtualTime, q.finishTags[e.Workspace])
 	weight := e.Weight
 	if weight <= 0 {
 		weight = 1
 	}
-	q.finish[e.Workspace] = start + e.Cost/weight
+	q.finishTags[e.Workspace] = start + e.Cost/weight
 	q.seq++
 	it := &fairItem{start: start, seq: q.seq, entry: e}
-	e.item = it
+	e.queueItem = it
 	q.queued[e.Workspace]++
 	heap.Push(&q.items, it)
 }
 
-// pushFront queues an entry that was taken before, ahead of its workspace's others.
+// pushFront queues a popped entry again, ahead of its workspace's other entries. It
+// leaves the finish tag alone, because push has charged the workspace already.
 func (q *fairQueue) pushFront(e *Entry) {
-	it := &fairItem{start: q.clock, entry: e}
-	e.item = it
+	it := &fairItem{start: q.virtualTime, entry: e}
+	e.queueItem = it
 	q.queued[e.Workspace]++
 	heap.Push(&q.items, it)
 }
@@ -81,35 +83,36 @@
 
 func (q *fairQueue) pop() {
 	e := q.items[0].entry
-	q.clock = max(q.clock, q.items[0].start)
+	q.virtualTime = max(q.virtualTime, q.items[0].start)
 	q.remove(e)
-	q.forgetIdle()
+	q.dropIdleTags()
 }
 
 func (q *fairQueue) remove(e *Entry) {
-	if e.item == nil {
+	if e.queueItem == nil {
 		return
 	}
-	heap.Remove(&q.items, e.item.index)
-	e.item = nil
+	heap.Remove(&q.items, e.queueItem.index)
+	e.queueItem = nil
 	q.queued[e.Workspace]--
 	if q.queued[e.Workspace] == 0 {
 		delete(q.queued, e.Workspace)
 	}
 }
 
-// maxFinishTags bounds the tags kept for workspaces that are idle.
+// maxFinishTags is the number of finish tags above which those of idle workspaces
+// are dropped.
 const maxFinishTags = 1024
 
-// forgetIdle drops tags that no longer matter, so that memory follows the busy
-// workspaces and not all 32,000.
-func (q *fairQueue) forgetIdle() {
-	if len(q.finish) <= maxFinishTags {
+// dropIdleTags drops the finish tags that no longer affect the order, so that memory
+// grows with the busy workspaces and not with all 32,000.
+func (q *fairQueue) dropIdleTags() {
+	if len(q.finishTags) <= maxFinishTags {
 		return
 	}
-	for ws, tag := range q.finish {
-		if q.queued[ws] == 0 && tag <= q.clock {
-			delete(q.finish, ws)
+	for ws, tag := range q.finishTags {
+		if q.queued[ws] == 0 && tag <= q.virtualTime {
+			delete(q.finishTags, ws)
 		}
 	}
 }
