--- a/online/answer.go
+++ b/online/answer.go
@@ -1,6 +1,6 @@
-// Package online holds the aggregates of an online request: the answer as it
-// grows at the agent, the same answer as it is put together at the entry, and the
-// request's life cycle.
+// Package online holds the state of an online request: the response buffered at the
+// agent, its reassembly at the entry, the request's life cycle at the agent, and the
+// entry's retry budget.
 package online
 
 import (
@@ -11,8 +11,9 @@
 	"pumiceford/wire"
 )
 
-// Answer is a growing answer at the agent. Frames are kept until the answer is
-// dropped, so that a reader who lost its connection continues where it was.
+// Answer buffers the frames of a response at the agent while it is generated. It keeps
+// all frames, so that a reader that lost its connection can resume at any frame. It
+// is safe for concurrent use.
 type Answer struct {
 	id []byte
 
@@ -20,28 +21,30 @@
 	frames  []*wire.Frame
 	digest  *xxhash.Digest
 	closed  bool
-	changed chan struct{} // closed when a frame is added
+	changed chan struct{} // closed and replaced when frames are added
 	tokens  uint32
 }
 
-// NewAnswer returns an empty Answer for a request id.
+// NewAnswer returns an empty buffer for the response to a request id.
 func NewAnswer(id []byte) *Answer {
 	return &Answer{id: id, digest: xxhash.New(), changed: make(chan struct{})}
 }
 
-// Add appends text.
+// Add appends a piece of text of the given number of tokens. It does nothing after
+// End or Fail.
 func (a *Answer) Add(text string, tokens uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed {
 		return
 	}
-	a.piece(text, tokens)
+	a.appendPiece(text, tokens)
 	a.notify()
 }
 
-// End appends the last text, if any, and closes a whole answer. Both are told
-// together, so that they leave in one write.
+// End appends the last text, if any, and closes a complete response with end, in which
+// it sets the count and the digest. Readers are notified once for both frames, so that
+// these are sent in one write. End does nothing after an earlier End or Fail.
 func (a *Answer) End(text string, tokens uint32, end *wire.End) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -49,23 +52,24 @@
 		return
 	}
 	if text != "" {
-		a.piece(text, tokens)
+		a.appendPiece(text, tokens)
 	}
 	end.Count = uint64(len(a.frames))
 	end.Digest = a.digest.Sum64()
 	a.closed = true
-	a.put(&wire.Frame{Kind: &wire.Frame_End{End: end}})
+	a.appendFrame(&wire.Frame{Kind: &wire.Frame_End{End: end}})
 	a.notify()
 }
 
-func (a *Answer) piece(text string, tokens uint32) {
-	// A hash in memory takes every write.
+func (a *Answer) appendPiece(text string, tokens uint32) {
+	// Writing to the digest never fails.
 	_, _ = a.digest.WriteString(text)
 	a.tokens += tokens
-	a.put(&wire.Frame{Kind: &wire.Frame_Piece{Piece: &wire.Piece{Text: []byte(text), Tokens: tokens}}})
+	a.appendFrame(&wire.Frame{Kind: &wire.Frame_Piece{Piece: &wire.Piece{Text: []byte(text), Tokens: tokens}}})
 }
 
-// Fail closes an answer that will not be whole.
+// Fail closes a response that stays incomplete. It does nothing after an earlier End or
+// Fail.
 func (a *Answer) Fail(f *wire.Failure) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,24 +77,24 @@
 		return
 	}
 	a.closed = true
-	a.put(&wire.Frame{Kind: &wire.Frame_Failure{Failure: f}})
+	a.appendFrame(&wire.Frame{Kind: &wire.Frame_Failure{Failure: f}})
 	a.notify()
 }
 
-func (a *Answer) put(f *wire.Frame) {
+func (a *Answer) appendFrame(f *wire.Frame) {
 	f.Id = a.id
 	f.Seq = uint64(len(a.frames))
 	a.frames = append(a.frames, f)
 }
 
-// notify wakes the readers.
+// notify wakes the readers. The caller holds a.mu.
 func (a *Answer) notify() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// From returns the frames from seq on, whether the answer is closed, and a
-// channel that is closed when there is more.
+// From returns the frames from sequence number seq on, whether the response is closed,
+// and a channel that is closed when further frames are added.
 func (a *Answer) From(seq uint64) (frames []*wire.Frame, closed bool, changed <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -100,7 +104,7 @@
 	return frames, a.closed, a.changed
 }
 
-// Tokens returns how many tokens the answer has.
+// Tokens returns how many tokens were added so far.
 func (a *Answer) Tokens() uint32 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/online/assembler.go
+++ b/online/assembler.go
@@ -9,67 +9,72 @@
 	"pumiceford/wire"
 )
 
-// maxHeldFrames bounds the frames held while an earlier one is missing.
-const maxHeldFrames = 1024
+// maxPendingFrames is the maximum number of frames buffered while an earlier one is
+// missing.
+const maxPendingFrames = 1024
 
-// Assembler puts the frames of one answer in order at the entry. Copies are
-// dropped, frames of other requests are refused, and the end only counts when
-// the number of frames and the digest agree.
+// Assembler puts the frames of one response in order at the entry. It drops duplicates,
+// refuses frames of other requests, and accepts the end only if the number of frames
+// and the digest match. It is not safe for concurrent use.
 type Assembler struct {
-	id     []byte
-	next   uint64
-	held   map[uint64]*wire.Frame
-	digest *xxhash.Digest
-	tokens uint32
-	end    *wire.End
-	failed *wire.Failure
+	id      []byte
+	next    uint64
+	pending map[uint64]*wire.Frame
+	digest  *xxhash.Digest
+	tokens  uint32
+	end     *wire.End
+	failure *wire.Failure
 }
 
 // NewAssembler returns an Assembler for a request id.
 func NewAssembler(id []byte) *Assembler {
-	return &Assembler{id: id, held: make(map[uint64]*wire.Frame), digest: xxhash.New()}
+	return &Assembler{id: id, pending: make(map[uint64]*wire.Frame), digest: xxhash.New()}
 }
 
-// Next is the sequence number that is missing first.
+// Next returns the lowest sequence number that was not received.
 func (a *Assembler) Next() uint64 { return a.next }
 
-// Tokens returns how many tokens were taken in order.
+// Tokens returns how many tokens the pieces in order have.
 func (a *Assembler) Tokens() uint32 { return a.tokens }
 
-// End returns the end of a whole answer, nil before it.
+// End returns the end of a complete response, nil before it.
 func (a *Assembler) End() *wire.End { return a.end }
 
-// Failure returns the failure that ended the answer, nil when there is none.
-func (a *Assembler) Failure() *wire.Failure { return a.failed }
+// Failure returns the failure that ended the response, nil if there is none.
+func (a *Assembler) Failure() *wire.Failure { return a.failure }
 
-// Take takes one frame and returns the pieces that are now in order.
+// Take adds one frame and returns the pieces that it completes, in order. It ignores
+// duplicates and frames after the end. An error means that the response is unusable.
 func (a *Assembler) Take(f *wire.Frame) ([]*wire.Piece, error) {
 	if !bytes.Equal(f.GetId(), a.id) {
-		// Without this check a caller could see another's answer after a mix-up
-		// of streams. One would notice text that does not fit its prompt.
+		// Without this check, streams that were mixed up would give one caller the
+		// response to another caller's request, and only text that does not match the
+		// prompt would show it.
 		return nil, apierr.Executed(apierr.CodeInternal, "frame of another request")
 	}
-	if f.GetSeq() < a.next || a.end != nil || a.failed != nil {
+	if f.GetSeq() < a.next || a.end != nil || a.failure != nil {
 		return nil, nil
 	}
-	if len(a.held) >= maxHeldFrames {
+	if len(a.pending) >= maxPendingFrames {
 		return nil, apierr.Executed(apierr.CodeInternal, "too many frames out of order")
 	}
-	a.held[f.GetSeq()] = f
+	a.pending[f.GetSeq()] = f
 	return a.drain()
 }
 
+// drain removes the frames that are next in order from pending and returns their
+// pieces.
 func (a *Assembler) drain() ([]*wire.Piece, error) {
 	var pieces []*wire.Piece
 	for {
-		f, ok := a.held[a.next]
+		f, ok := a.pending[a.next]
 		if !ok {
 			return pieces, nil
 		}
-		delete(a.held, a.next)
+		delete(a.pending, a.next)
 		switch k := f.GetKind().(type) {
 		case *wire.Frame_Piece:
-			// A hash in memory takes every write.
+			// Writing to the digest never fails.
 			_, _ = a.digest.Write(k.Piece.GetText())
 			a.tokens += k.Piece.GetTokens()
 			pieces = append(pieces, k.Piece)
@@ -79,7 +84,7 @@
 			}
 			a.end = k.End
 		case *wire.Frame_Failure:
-			a.failed = k.Failure
+			a.failure = k.Failure
 		}
 		a.next++
 	}
--- a/online/budget.go
+++ b/online/budget.go
@@ -2,32 +2,33 @@
 
 import "sync"
 
-// RetryBudget allows retries as a share of successes, so that retries cannot
-// multiply an overload.
+// RetryBudget is a token bucket that limits retries to a fraction of the successful
+// requests, so that retries cannot amplify an overload. It is safe for concurrent
+// use.
 type RetryBudget struct {
 	mu     sync.Mutex
 	tokens float64
 }
 
-// Bounds of a RetryBudget.
+// Parameters of a RetryBudget. A retry costs one token.
 const (
-	retryShare     = 0.1 // tokens that one success earns
-	retryTokensMax = 20
+	tokensPerSuccess = 0.1
+	maxRetryTokens   = 20
 )
 
 // NewRetryBudget returns a full budget.
 func NewRetryBudget() *RetryBudget {
-	return &RetryBudget{tokens: retryTokensMax}
+	return &RetryBudget{tokens: maxRetryTokens}
 }
 
-// Success earns a part of a retry.
+// Success adds tokensPerSuccess tokens for a successful request.
 func (b *RetryBudget) Success() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+retryShare, retryTokensMax)
+	b.tokens = min(b.tokens+tokensPerSuccess, maxRetryTokens)
 }
 
-// Take reports whether a retry is allowed, and pays for it.
+// Take reports whether a retry is allowed, and removes its token if so.
 func (b *RetryBudget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/online/life.go
+++ b/online/life.go
@@ -6,7 +6,7 @@
 	"pumiceford/wire"
 )
 
-// State is a state of a request at the agent.
+// State is the state of a request at the agent.
 type State string
 
 // The states. Finished and Revoked are terminal.
@@ -17,7 +17,7 @@
 	Revoked  State = "revoked"
 )
 
-// Trigger moves a request between states.
+// Trigger is an event that moves a request to another state.
 type Trigger string
 
 // The triggers.
@@ -27,13 +27,13 @@
 	TriggerRevoke Trigger = "revoke"
 )
 
-// Life is the life cycle of one request at the agent. It is the place of truth
-// about whether the request ran.
+// Life is the life cycle of one request at the agent. It is authoritative on
+// whether the request ran.
 type Life struct {
 	machine *stateless.StateMachine
 }
 
-// NewLife returns a Life in state Queued.
+// NewLife returns the life cycle of a new request, which is in state Queued.
 func NewLife() *Life {
 	m := stateless.NewStateMachine(Queued)
 	m.Configure(Queued).
@@ -51,7 +51,7 @@
 	return &Life{machine: m}
 }
 
-// Fire moves on. It reports false when the state does not permit the trigger.
+// Fire applies a trigger. It reports false if the current state does not permit it.
 func (l *Life) Fire(t Trigger) bool {
 	return l.machine.Fire(t) == nil
 }
@@ -61,7 +61,7 @@
 	return l.machine.MustState().(State)
 }
 
-// Ran says whether the request was executed, at least in part.
+// Ran returns whether the request was executed, at least in part.
 func (l *Life) Ran() wire.Ran {
 	switch l.State() {
 	case Queued, Revoked:
