--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,8 +1,8 @@
-// Package routing chooses the agent for an online request. It is pure: views of
-// agents, the time and the request come in, a choice comes out.
+// Package routing chooses the agent for an online request. It does no I/O and reads
+// no clock: callers pass in the agents' reports, the request and the time.
 //
 // Among the agents that serve a model it prefers the one that rendezvous hashing
-// names for the prompt's prefix, so that prompts with the same prefix meet the
+// selects for the prompt's prefix, so that prompts with the same prefix reach the
 // same prefix cache, unless that agent is loaded well above the others.
 package routing
 
@@ -15,37 +15,40 @@
 	"pumiceford/internal/defaults"
 )
 
-// Settings shape a Router.
+// Settings configures a Router. Zero fields take their defaults.
 type Settings struct {
-	DataCentre string // of this entry
-	// StatusFor is how long an agent's word counts, default 6 s: three
-	// heartbeats of an idle session.
-	StatusFor time.Duration
-	// LoadFactor bounds prefix affinity: an agent loaded more than this times
-	// the mean is passed over, default 1.25.
+	DataCentre string // data centre of this entry; no default
+	// ReportTTL is how long an agent's report stays valid without a heartbeat,
+	// default 6 s: three heartbeats of an idle session.
+	ReportTTL time.Duration
+	// LoadFactor limits prefix affinity: an agent with more than this times the
+	// mean load is skipped, default 1.25.
 	LoadFactor float64
-	// EjectAfter is how many failures in a row eject an agent, default 3.
+	// EjectAfter is the number of consecutive failures that ejects an agent,
+	// default 3.
 	EjectAfter int
-	// EjectFor is how long the first ejection lasts, default 1 s; it doubles.
-	EjectFor time.Duration
-	// EjectShare bounds the part of agents ejected at a time, default 1/3.
-	EjectShare float64
-	// SpillAt is the part of the local seats in use above which other data
-	// centres are used as well, default 0.8.
-	SpillAt float64
+	// BaseEjectionTime is how long the first ejection lasts, default 1 s. It
+	// doubles with each further ejection.
+	BaseEjectionTime time.Duration
+	// MaxEjectedFraction is the largest fraction of the agents that may be ejected
+	// at the same time, default 1/3.
+	MaxEjectedFraction float64
+	// SpilloverThreshold is the fraction of local seats in use from which agents in
+	// other data centres are used as well, default 0.8.
+	SpilloverThreshold float64
 }
 
 func (s Settings) withDefaults() Settings {
-	defaults.Set(&s.StatusFor, 6*time.Second)
+	defaults.Set(&s.ReportTTL, 6*time.Second)
 	defaults.Set(&s.LoadFactor, 1.25)
 	defaults.Set(&s.EjectAfter, 3)
-	defaults.Set(&s.EjectFor, time.Second)
-	defaults.Set(&s.EjectShare, 1.0/3)
-	defaults.Set(&s.SpillAt, 0.8)
+	defaults.Set(&s.BaseEjectionTime, time.Second)
+	defaults.Set(&s.MaxEjectedFraction, 1.0/3)
+	defaults.Set(&s.SpilloverThreshold, 0.8)
 	return s
 }
 
-// Report is what an agent said of itself.
+// Report is the state that an agent reports of itself.
 type Report struct {
 	Incarnation string
 	DataCentre  string
@@ -57,43 +60,44 @@
 	Leaving     bool
 }
 
-// Agent is the router's view of one agent.
+// Agent is the state that the router keeps of one agent.
 type Agent struct {
-	Name        string
-	Addr        string
-	Report      Report
-	heard       time.Time
-	Outstanding int // own requests there
-	atReport    int // own requests there when the last report came
-	failures    int
-	ejections   int
-	ejectedTil  time.Time
-	drained     bool
+	Name             string
+	Addr             string
+	Report           Report
+	reportedAt       time.Time // last report or heartbeat; zero if unreachable
+	InFlight         int       // requests that this entry has in flight at the agent
+	inFlightAtReport int       // InFlight when the last report arrived
+	failures         int       // consecutive, since the last ejection
+	ejections        int       // consecutive, since the last success
+	ejectedUntil     time.Time
+	drained          bool
 }
 
-// load estimates the requests at the agent: its lagging report corrected by what
-// this entry sent or saw end since.
+// load estimates the requests at the agent: its last report, corrected by the
+// requests that this entry started or completed since.
 func (a *Agent) load() float64 {
-	reported := a.Report.Running + a.Report.Queued + a.Outstanding - a.atReport
-	return float64(max(reported, a.Outstanding))
+	reported := a.Report.Running + a.Report.Queued + a.InFlight - a.inFlightAtReport
+	return float64(max(reported, a.InFlight))
 }
 
+// relativeLoad returns the load per seat.
 func (a *Agent) relativeLoad() float64 {
 	return a.load() / float64(max(a.Report.Seats, 1))
 }
 
-// Router holds the views. It is not safe for concurrent use.
+// Router holds the known agents. It is not safe for concurrent use.
 type Router struct {
-	set    Settings
-	agents map[string]*Agent
+	settings Settings
+	agents   map[string]*Agent
 }
 
-// New returns an empty Router.
-func New(set Settings) *Router {
-	return &Router{set: set.withDefaults(), agents: make(map[string]*Agent)}
+// New returns a Router without agents.
+func New(settings Settings) *Router {
+	return &Router{settings: settings.withDefaults(), agents: make(map[string]*Agent)}
 }
 
-// Add adds an agent or changes its address.
+// Add adds an agent, or updates the address of a known one.
 func (r *Router) Add(name, addr string) {
 	if a := r.agents[name]; a != nil {
 		a.Addr = addr
@@ -102,19 +106,21 @@
 	r.agents[name] = &Agent{Name: name, Addr: addr}
 }
 
-// Remove drops an agent.
+// Remove removes an agent.
 func (r *Router) Remove(name string) {
 	delete(r.agents, name)
 }
 
-// SetDrained marks an agent that operators or the host list want to leave.
+// SetDrained sets whether an agent is drained, as an operator or the host list
+// requests. A drained agent gets no new requests.
 func (r *Router) SetDrained(name string, drained bool) {
 	if a := r.agents[name]; a != nil {
 		a.drained = drained
 	}
 }
 
-// Note takes an agent's report.
+// Note stores an agent's report. A report from a new incarnation ends an ejection,
+// because the failures were those of the earlier process.
 func (r *Router) Note(now time.Time, name string, rep Report) {
 	a := r.agents[name]
 	if a == nil {
@@ -122,92 +128,94 @@
 	}
 	if a.Report.Incarnation != rep.Incarnation {
 		a.failures = 0
-		a.ejectedTil = time.Time{}
+		a.ejectedUntil = time.Time{}
 	}
 	a.Report = rep
-	a.heard = now
-	a.atReport = a.Outstanding
+	a.reportedAt = now
+	a.inFlightAtReport = a.InFlight
 }
 
-// Alive notes that an agent's last report still stands.
+// Alive extends the validity of an agent's last report. It has no effect on an agent
+// that has not reported since it became unreachable.
 func (r *Router) Alive(now time.Time, name string) {
-	if a := r.agents[name]; a != nil && !a.heard.IsZero() {
-		a.heard = now
+	if a := r.agents[name]; a != nil && !a.reportedAt.IsZero() {
+		a.reportedAt = now
 	}
 }
 
-// Lost notes that an agent cannot be reached. It gets nothing before it reports
+// Lost marks an agent as unreachable. The agent gets no requests until it reports
 // again.
 func (r *Router) Lost(name string) {
 	if a := r.agents[name]; a != nil {
-		a.heard = time.Time{}
+		a.reportedAt = time.Time{}
 	}
 }
 
-// Began counts a request sent to an agent.
+// Began counts a request that is sent to an agent.
 func (r *Router) Began(name string) {
 	if a := r.agents[name]; a != nil {
-		a.Outstanding++
+		a.InFlight++
 	}
 }
 
-// Ended counts a request that ended there, and whether the agent was at fault.
+// Ended counts a request that ended at an agent. fault says whether the agent failed
+// it. EjectAfter consecutive failures eject the agent, within MaxEjectedFraction.
 func (r *Router) Ended(now time.Time, name string, fault bool) {
 	a := r.agents[name]
 	if a == nil {
 		return
 	}
-	a.Outstanding--
+	a.InFlight--
 	if !fault {
 		a.failures = 0
 		a.ejections = 0
 		return
 	}
 	a.failures++
-	if a.failures >= r.set.EjectAfter && r.mayEject(now) {
+	if a.failures >= r.settings.EjectAfter && r.canEject(now) {
 		a.failures = 0
 		a.ejections++
-		a.ejectedTil = now.Add(r.set.EjectFor << min(a.ejections-1, maxEjectShift))
+		a.ejectedUntil = now.Add(r.settings.BaseEjectionTime << min(a.ejections-1, maxEjectShift))
 	}
 }
 
-// maxEjectShift bounds the doubling of ejections.
+// maxEjectShift limits an ejection to 32 times BaseEjectionTime.
 const maxEjectShift = 5
 
-// mayEject keeps ejections within EjectShare, so that one bad request that fails
-// everywhere cannot eject the fleet.
-func (r *Router) mayEject(now time.Time) bool {
+// canEject reports whether one more ejection stays within MaxEjectedFraction, so that
+// one bad request that fails on every agent cannot eject the whole fleet.
+func (r *Router) canEject(now time.Time) bool {
 	out := 0
 	for _, a := range r.agents {
-		if now.Before(a.ejectedTil) {
+		if now.Before(a.ejectedUntil) {
 			out++
 		}
 	}
-	return float64(out+1) <= r.set.EjectShare*float64(len(r.agents))
+	return float64(out+1) <= r.settings.MaxEjectedFraction*float64(len(r.agents))
 }
 
-// Query is what a request needs.
+// Query describes what a request needs. Service takes precedence over Model.
 type Query struct {
 	Model   string
 	Service string
-	Prefix  uint64          // hash of the prompt's first blocks, 0 for none
-	Exclude map[string]bool // agents tried already
+	Prefix  uint64          // result of PrefixKey, 0 for none
+	Exclude map[string]bool // names of agents that were tried already
 }
 
-// Choice is the chosen agent with the incarnation that the request is meant for.
+// Choice is the selected agent, with the incarnation that the request is meant for.
 type Choice struct {
 	Name        string
 	Addr        string
 	Incarnation string
 }
 
-// Pick chooses an agent. It reports false when none serves the request now.
+// Pick selects an agent. It reports false if no agent can serve the request now.
 func (r *Router) Pick(now time.Time, q Query) (Choice, bool) {
 	all := r.candidates(now, q)
 	if len(all) == 0 {
 		return Choice{}, false
 	}
-	all = r.near(all)
+	all = r.preferLocal(all)
 	a := r.byAffinity(all, q.Prefix)
 	return Choice{Name: a.Name, Addr: a.Addr, Incarnation: a.Report.Incarnation}, true
 }
@@ -229,10 +237,10 @@
 }
 
 func (r *Router) usable(now time.Time, a *Agent, q Query) bool {
-	if a.drained || a.Report.Leaving || q.Exclude[a.Name] || now.Before(a.ejectedTil) {
+	if a.drained || a.Report.Leaving || q.Exclude[a.Name] || now.Before(a.ejectedUntil) {
 		return false
 	}
-	if a.heard.IsZero() || now.Sub(a.heard) > r.set.StatusFor {
+	if a.reportedAt.IsZero() || now.Sub(a.reportedAt) > r.settings.ReportTTL {
 		return false
 	}
 	if q.Service != "" {
@@ -241,26 +249,27 @@
 	return slices.Contains(a.Report.Models, q.Model)
 }
 
-// near keeps the agents of this entry's data centre while they have room.
-func (r *Router) near(all []*Agent) []*Agent {
+// preferLocal returns the agents of this entry's data centre while less than
+// SpilloverThreshold of their seats are in use, and all agents otherwise.
+func (r *Router) preferLocal(all []*Agent) []*Agent {
 	var local []*Agent
 	used, seats := 0.0, 0
 	for _, a := range all {
-		if a.Report.DataCentre == r.set.DataCentre {
+		if a.Report.DataCentre == r.settings.DataCentre {
 			local = append(local, a)
 			used += a.load()
 			seats += a.Report.Seats
 		}
 	}
-	if len(local) == 0 || used >= r.set.SpillAt*float64(seats) {
+	if len(local) == 0 || used >= r.settings.SpilloverThreshold*float64(seats) {
 		return all
 	}
 	return local
 }
 
-// byAffinity returns the agent that rendezvous hashing prefers for the prefix
-// among those whose load is within LoadFactor of the mean. Without a prefix it
-// returns the least loaded.
+// byAffinity returns the agent with the highest Score for the prefix among those
+// whose relative load is at most LoadFactor times the mean. Without a prefix it
+// returns the agent with the lowest relative load.
 func (r *Router) byAffinity(all []*Agent, prefix uint64) *Agent {
 	mean := 0.0
 	for _, a := range all {
@@ -276,9 +285,9 @@
 			}
 			continue
 		}
-		// One request more than the mean is always allowed, or an idle fleet
-		// would know no affinity.
-		bound := r.set.LoadFactor*mean + 1/float64(max(a.Report.Seats, 1))
+		// One request above the bound is always allowed. Otherwise affinity would
+		// have no effect in a fleet that is almost idle.
+		bound := r.settings.LoadFactor*mean + 1/float64(max(a.Report.Seats, 1))
 		if a.relativeLoad() > bound {
 			continue
 		}
@@ -292,7 +301,7 @@
 	return best
 }
 
-// Score is the rendezvous weight of a node for a key.
+// Score returns the rendezvous hashing weight of a node for a key.
 func Score(node string, key uint64) uint64 {
 	h := xxhash.Sum64String(node) ^ key*0x9e3779b97f4a7c15
 	h ^= h >> 32
@@ -301,8 +310,8 @@
 	return h
 }
 
-// Top returns the n nodes of highest Score for a key, best first. Adding or
-// removing a node changes little for the others.
+// Top returns the n nodes with the highest Score for a key, highest first. Adding or
+// removing a node leaves the order of the others unchanged.
 func Top(nodes []string, key uint64, n int) []string {
 	out := slices.Clone(nodes)
 	slices.SortFunc(out, func(a, b string) int {
@@ -320,7 +329,8 @@
 	return out[:min(n, len(out))]
 }
 
-// Best returns the node of highest Score for a key, empty when there is none.
+// Best returns the node with the highest Score for a key, or an empty string if nodes
+// is empty.
 func Best(nodes []string, key uint64) string {
 	best, score := "", uint64(0)
 	for _, n := range nodes {
@@ -331,10 +341,11 @@
 	return best
 }
 
-// PrefixBytes is how much of a prompt decides its affinity.
+// PrefixBytes is how many bytes of a prompt determine its affinity.
 const PrefixBytes = 256
 
-// PrefixKey hashes the start of a prompt.
+// PrefixKey hashes the model and the first PrefixBytes of the prompt. It never
+// returns 0, which stands for no prefix in a Query.
 func PrefixKey(model, prompt string) uint64 {
 	if len(prompt) > PrefixBytes {
 		prompt = prompt[:PrefixBytes]
@@ -346,7 +357,7 @@
 	return h
 }
 
-// Views returns the agents for operators, by name.
+// Views returns copies of all agents, sorted by name, for display to operators.
 func (r *Router) Views() []Agent {
 	var out []Agent
 	for _, a := range r.agents {
@@ -361,7 +372,7 @@
 	return out
 }
 
-// Get returns an agent's view, nil when unknown.
+// Get returns the named agent, nil if it is unknown.
 func (r *Router) Get(name string) *Agent {
 	return r.agents[name]
 }
