--- a/online/answer.go
+++ b/online/answer.go
@@ -32,81 +32,81 @@
 
 // Add appends a piece of text of the given number of tokens. It does nothing after
 // End or Fail.
-func (a *Answer) Add(text string, tokens uint32) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.closed {
+func (r *Answer) Add(text string, tokens uint32) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.closed {
 		return
 	}
-	a.appendPiece(text, tokens)
-	a.notify()
+	r.appendPiece(text, tokens)
+	r.notify()
 }
 
 // End appends the last text, if any, and closes a complete response with end, in which
 // it sets the count and the digest. Readers are notified once for both frames, so that
 // these are sent in one write. End does nothing after an earlier End or Fail.
-func (a *Answer) End(text string, tokens uint32, end *wire.End) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.closed {
+func (r *Answer) End(text string, tokens uint32, end *wire.End) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.closed {
 		return
 	}
 	if text != "" {
-		a.appendPiece(text, tokens)
+		r.appendPiece(text, tokens)
 	}
-	end.Count = uint64(len(a.frames))
-	end.Digest = a.digest.Sum64()
-	a.closed = true
-	a.appendFrame(&wire.Frame{Kind: &wire.Frame_End{End: end}})
-	a.notify()
+	end.Count = uint64(len(r.frames))
+	end.Digest = r.digest.Sum64()
+	r.closed = true
+	r.appendFrame(&wire.Frame{Kind: &wire.Frame_End{End: end}})
+	r.notify()
 }
 
-func (a *Answer) appendPiece(text string, tokens uint32) {
+func (r *Answer) appendPiece(text string, tokens uint32) {
 	// Writing to the digest never fails.
-	_, _ = a.digest.WriteString(text)
-	a.tokens += tokens
-	a.appendFrame(&wire.Frame{Kind: &wire.Frame_Piece{Piece: &wire.Piece{Text: []byte(text), Tokens: tokens}}})
+	_, _ = r.digest.WriteString(text)
+	r.tokens += tokens
+	r.appendFrame(&wire.Frame{Kind: &wire.Frame_Piece{Piece: &wire.Piece{Text: []byte(text), Tokens: tokens}}})
 }
 
 // Fail closes a response that stays incomplete. It does nothing after an earlier End or
 // Fail.
-func (a *Answer) Fail(f *wire.Failure) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.closed {
+func (r *Answer) Fail(f *wire.Failure) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.closed {
 		return
 	}
-	a.closed = true
-	a.appendFrame(&wire.Frame{Kind: &wire.Frame_Failure{Failure: f}})
-	a.notify()
+	r.closed = true
+	r.appendFrame(&wire.Frame{Kind: &wire.Frame_Failure{Failure: f}})
+	r.notify()
 }
 
-func (a *Answer) appendFrame(f *wire.Frame) {
-	f.Id = a.id
-	f.Seq = uint64(len(a.frames))
-	a.frames = append(a.frames, f)
+func (r *Answer) appendFrame(f *wire.Frame) {
+	f.Id = r.id
+	f.Seq = uint64(len(r.frames))
+	r.frames = append(r.frames, f)
 }
 
-// notify wakes the readers. The caller holds a.mu.
-func (a *Answer) notify() {
-	close(a.changed)
-	a.changed = make(chan struct{})
+// notify wakes the readers. The caller holds r.mu.
+func (r *Answer) notify() {
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
 // From returns the frames from sequence number seq on, whether the response is closed,
 // and a channel that is closed when further frames are added.
-func (a *Answer) From(seq uint64) (frames []*wire.Frame, closed bool, changed <-chan struct{}) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if seq < uint64(len(a.frames)) {
-		frames = a.frames[seq:len(a.frames):len(a.frames)]
+func (r *Answer) From(seq uint64) (frames []*wire.Frame, closed bool, changed <-chan struct{}) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if seq < uint64(len(r.frames)) {
+		frames = r.frames[seq:len(r.frames):len(r.frames)]
 	}
-	return frames, a.closed, a.changed
+	return frames, r.closed, r.changed
 }
 
 // Tokens returns how many tokens were added so far.
-func (a *Answer) Tokens() uint32 {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.tokens
+func (r *Answer) Tokens() uint32 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.tokens
 }
