--- a/cmd/pumice-agent/main.go
+++ b/cmd/pumice-agent/main.go
@@ -1,4 +1,4 @@
-// Command pumice-agent runs one agent with a settings file.
+// Command pumice-agent runs one agent from a settings file.
 package main
 
 import (
--- a/cmd/pumice-bench/main.go
+++ b/cmd/pumice-bench/main.go
@@ -1,4 +1,4 @@
-// Command pumice-bench runs the experiments.
+// Command pumice-bench runs the load, path and ledger benchmarks.
 package main
 
 import (
@@ -25,14 +25,14 @@
 
 type loadCmd struct {
 	JSON bool   `arg:"--json"`
-	Seed uint64 `arg:"--seed" default:"1" help:"of the arrivals"`
-	Plot string `arg:"--plot" help:"write the tail of the times to this SVG or PNG file"`
+	Seed uint64 `arg:"--seed" default:"1" help:"seed of the random arrivals"`
+	Plot string `arg:"--plot" help:"write a plot of the tail latencies to this SVG or PNG file"`
 }
 
 type args struct {
-	Load   *loadCmd   `arg:"subcommand:load" help:"peaks and batch work under several policies, replayed"`
-	Path   *pathCmd   `arg:"subcommand:path" help:"what entry and agent add to a one-token request"`
-	Ledger *ledgerCmd `arg:"subcommand:ledger" help:"the batch ledger against a naive one"`
+	Load   *loadCmd   `arg:"subcommand:load" help:"simulate peaks of online requests beside batch work under several policies"`
+	Path   *pathCmd   `arg:"subcommand:path" help:"measure the latency that entry and agent add to a one-token request"`
+	Ledger *ledgerCmd `arg:"subcommand:ledger" help:"compare the batch ledger with a naive one"`
 }
 
 // Version implements go-arg's Versioned.
@@ -42,7 +42,7 @@
 	var a args
 	p := arg.MustParse(&a)
 	if p.Subcommand() == nil {
-		p.Fail("an experiment is missing")
+		p.Fail("a subcommand is required: load, path or ledger")
 	}
 	ctx, cancel := daemon.Signals()
 	defer cancel()
@@ -63,9 +63,9 @@
 		for _, policy := range []load.Policy{load.Admit, load.Part, load.Seats, load.Alone, load.Forward} {
 			all = append(all, load.Run(shape, policy, cmd.Seed))
 		}
-		calm := shape
-		calm.Items = 0
-		all = append(all, load.Run(calm, load.Seats, cmd.Seed))
+		noBatch := shape
+		noBatch.Items = 0
+		all = append(all, load.Run(noBatch, load.Seats, cmd.Seed))
 	}
 	if cmd.Plot != "" {
 		if err := load.Plot(all, cmd.Plot); err != nil {
@@ -107,7 +107,7 @@
 		return json.NewEncoder(os.Stdout).Encode(p)
 	}
 	for _, l := range p.Lines {
-		fmt.Printf("%-25s p50 %6.3f ms  p99 %6.3f ms  %4.0f us of processor a request, all processes\n", l.Name, l.P50Ms, l.P99Ms, l.CPUPerCall)
+		fmt.Printf("%-25s p50 %6.3f ms  p99 %6.3f ms  %4.0f us of CPU time per request, all processes\n", l.Name, l.P50Ms, l.P99Ms, l.CPUPerCall)
 	}
 	fmt.Printf("added at %d requests/s: p50 %.3f ms, p99 %.3f ms; noise between the direct runs %.3f ms\n", p.Rate, p.AddedP50Ms, p.AddedP99Ms, p.NoiseP50Ms)
 	return nil
--- a/cmd/pumice-entry/main.go
+++ b/cmd/pumice-entry/main.go
@@ -1,4 +1,4 @@
-// Command pumice-entry runs one entry with a settings file.
+// Command pumice-entry runs one entry from a settings file.
 package main
 
 import (
--- a/cmd/pumice-standin/main.go
+++ b/cmd/pumice-standin/main.go
@@ -1,4 +1,5 @@
-// Command pumice-standin runs stand-ins for the outside systems with a settings file.
+// Command pumice-standin runs stand-ins for the external systems (platform, engines
+// and services) from a settings file.
 package main
 
 import (
--- a/cmd/pumice/explain.go
+++ b/cmd/pumice/explain.go
@@ -7,11 +7,11 @@
 )
 
 type explainCmd struct {
-	ID    string   `arg:"positional,required" help:"id of a request, job or item"`
-	Files []string `arg:"positional,required" help:"logs of the processes, one file each or several in one"`
+	ID    string   `arg:"positional,required" help:"ID of a request, job or item"`
+	Files []string `arg:"positional,required" help:"log files; one file may hold the logs of several processes"`
 }
 
-// runExplain prints what the logs tell of one id.
+// runExplain prints the log lines that concern one ID.
 func runExplain(cmd *explainCmd) error {
 	all, err := readLogs(cmd.Files)
 	if err != nil {
@@ -20,7 +20,6 @@
 	return explain.Find(all, cmd.ID).Write(os.Stdout, cmd.ID)
 }
 
-// readLogs reads the lines of several logs.
 func readLogs(names []string) ([]explain.Line, error) {
 	var all []explain.Line
 	for _, name := range names {
@@ -38,6 +37,6 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // read-only
 	return explain.Read(name, f)
 }
--- a/cmd/pumice/limits.go
+++ b/cmd/pumice/limits.go
@@ -15,31 +15,31 @@
 	JSON    bool   `arg:"--json"`
 }
 
-// runLimits lists the rate limits that an entry grants, and the workspaces whose callers
-// come to it.
+// runLimits prints the rate-limit shares that an entry grants and the request rate of the
+// workspaces whose callers it serves.
 func runLimits(ctx context.Context, cmd *limitsCmd) error {
-	ctx, cancel := context.WithTimeout(ctx, opsTimeout)
+	ctx, cancel := context.WithTimeout(ctx, processCallTimeout)
 	defer cancel()
-	var told daemon.Limits
-	if err := callOps(ctx, http.MethodGet, "http://"+cmd.Metrics+"/limits", &told); err != nil {
+	var limits daemon.Limits
+	if err := callProcess(ctx, http.MethodGet, "http://"+cmd.Metrics+"/limits", &limits); err != nil {
 		return err
 	}
 	if cmd.JSON {
-		return printJSON(told)
+		return printJSON(limits)
 	}
-	fmt.Printf("configuration confirmed %.1f s ago\n\ngranted here:\n", told.ConfirmedSecondsAgo)
-	err := table("WORKSPACE\tSHARE\tRATE\tLEFT\tDENIED", func(w *tabwriter.Writer) {
-		for _, g := range told.Grants {
-			row(w, g.Workspace, g.Share, fmt.Sprintf("%.1f", g.Rate), fmt.Sprintf("%.1f", g.Left), fmt.Sprintf("%.1f", g.Denied))
+	fmt.Printf("configuration confirmed %.1f s ago\n\nlimits granted by this entry:\n", limits.ConfirmedSecondsAgo)
+	err := printTable("WORKSPACE\tSHARE\tRATE\tLEFT\tDENIED", func(w *tabwriter.Writer) {
+		for _, g := range limits.Grants {
+			printRow(w, g.Workspace, g.Share, fmt.Sprintf("%.1f", g.Rate), fmt.Sprintf("%.1f", g.Left), fmt.Sprintf("%.1f", g.Denied))
 		}
 	})
 	if err != nil {
 		return err
 	}
-	fmt.Println("\ncallers here:")
-	return table("WORKSPACE\tPER SECOND\tGRANTERS", func(w *tabwriter.Writer) {
-		for _, d := range told.Demands {
-			row(w, d.Workspace, fmt.Sprintf("%.1f", d.PerSecond), strings.Join(d.Granters, " "))
+	fmt.Println("\ncallers of this entry:")
+	return printTable("WORKSPACE\tPER SECOND\tGRANTERS", func(w *tabwriter.Writer) {
+		for _, d := range limits.Demands {
+			printRow(w, d.Workspace, fmt.Sprintf("%.1f", d.PerSecond), strings.Join(d.Granters, " "))
 		}
 	})
 }
--- a/cmd/pumice/losses.go
+++ b/cmd/pumice/losses.go
@@ -8,9 +8,9 @@
 )
 
 type lossesCmd struct {
-	JSON bool     `arg:"--json" help:"each loss, with its id and moment"`
-	Plot string   `arg:"--plot" help:"SVG or PNG file for the losses of each second"`
-	Logs []string `arg:"positional,required" help:"logs of the processes, one file each or several in one"`
+	JSON bool     `arg:"--json" help:"print each loss as JSON, with its ID and time"`
+	Plot string   `arg:"--plot" help:"write a plot of the losses per second to this SVG or PNG file"`
+	Logs []string `arg:"positional,required" help:"log files; one file may hold the logs of several processes"`
 }
 
 func runLosses(cmd *lossesCmd) error {
--- a/cmd/pumice/main.go
+++ b/cmd/pumice/main.go
@@ -1,4 +1,4 @@
-// Command pumice is the callers' and operators' command line.
+// Command pumice is the command line for callers and operators.
 package main
 
 import (
@@ -22,8 +22,8 @@
 )
 
 type remote struct {
-	URL string `arg:"--url,env:PUMICE_URL" default:"http://127.0.0.1:8080" help:"base URL of an entry's interface"`
-	Key string `arg:"--key,env:PUMICE_KEY" help:"bearer key"`
+	URL string `arg:"--url,env:PUMICE_URL" default:"http://127.0.0.1:8080" help:"base URL of an entry's API"`
+	Key string `arg:"--key,env:PUMICE_KEY" help:"API key, sent as a bearer token"`
 }
 
 func (r remote) client() (*client.Client, error) {
@@ -31,13 +31,13 @@
 }
 
 type devCmd struct {
-	Check   bool `arg:"--check" help:"run the main job against the fleet and exit"`
+	Check   bool `arg:"--check" help:"run a smoke test against the fleet and exit"`
 	Entries int  `arg:"--entries" default:"2"`
 	Agents  int  `arg:"--agents" default:"4"`
 }
 
 type checkCmd struct {
-	Kind string `arg:"positional,required" help:"entry, agent, standin, gateway or seat-agent"`
+	Kind string `arg:"positional,required" help:"kind of settings: entry, agent, standin, gateway or seat-agent"`
 	File string `arg:"positional,required" help:"settings file"`
 }
 
@@ -50,21 +50,21 @@
 
 type submitCmd struct {
 	remote
-	File   string `arg:"positional,required" help:"JSONL file of items"`
-	Window string `arg:"--window" default:"24h" help:"time until the job is due"`
-	Job    string `arg:"--idempotency-key" help:"a resend with the same key is the same job"`
-	Wait   bool   `arg:"--wait" help:"wait for the end"`
+	File           string `arg:"positional,required" help:"JSONL file of items"`
+	Window         string `arg:"--window" default:"24h" help:"completion window of the job"`
+	IdempotencyKey string `arg:"--idempotency-key" help:"idempotency key; resending the job with the same key creates no second job"`
+	Wait           bool   `arg:"--wait" help:"wait until the job has ended"`
 }
 
 type jobCmd struct {
 	remote
-	ID string `arg:"positional,required" help:"batch id"`
+	ID string `arg:"positional,required" help:"batch ID"`
 }
 
 type resultsCmd struct {
 	remote
-	ID     string `arg:"positional,required" help:"batch id"`
-	Errors bool   `arg:"--errors" help:"items without a result instead"`
+	ID     string `arg:"positional,required" help:"batch ID"`
+	Errors bool   `arg:"--errors" help:"print the items without a result, with their errors, instead"`
 }
 
 type jobsCmd struct {
@@ -74,7 +74,7 @@
 
 type planCmd struct {
 	remote
-	Why     string   `arg:"--why" help:"reason, kept in the history"`
+	Why     string   `arg:"--why" help:"reason for the change, kept in the history"`
 	JSON    bool     `arg:"--json"`
 	Intents []string `arg:"positional,required" help:"intents as JSON objects"`
 }
@@ -82,8 +82,8 @@
 type confirmCmd struct {
 	remote
 	JSON   bool   `arg:"--json"`
-	Plan   string `arg:"positional,required" help:"plan id"`
-	Digest string `arg:"--digest" help:"digest of the plan that was read"`
+	Plan   string `arg:"positional,required" help:"plan ID"`
+	Digest string `arg:"--digest" help:"digest of the reviewed plan; the confirmation fails if it differs"`
 }
 
 type statusCmd struct {
@@ -92,25 +92,25 @@
 }
 
 type args struct {
-	Dev     *devCmd     `arg:"subcommand:dev" help:"run a fleet with stand-ins on loopback"`
-	Check   *checkCmd   `arg:"subcommand:check" help:"check a settings file"`
-	Config  *checkCmd   `arg:"subcommand:check-config" help:"the same as check"`
-	Explain *explainCmd `arg:"subcommand:explain" help:"what logs tell of a request, job or item"`
-	Losses  *lossesCmd  `arg:"subcommand:losses" help:"what logs tell of late and failed requests, jobs and items, by cause"`
-	Held    *heldCmd    `arg:"subcommand:quarantine" help:"requests held because targets crash under them; clear one"`
-	Limits  *limitsCmd  `arg:"subcommand:limits" help:"rate limits of workspaces: what an entry grants and who comes to it"`
-	Chat    *chatCmd    `arg:"subcommand:chat" help:"ask online and stream the answer"`
-	Submit  *submitCmd  `arg:"subcommand:submit" help:"submit a batch job"`
-	Jobs    *jobsCmd    `arg:"subcommand:jobs" help:"list batch jobs"`
-	Job     *jobCmd     `arg:"subcommand:job" help:"show a batch job"`
-	Results *resultsCmd `arg:"subcommand:results" help:"print a job's results"`
-	Cancel  *jobCmd     `arg:"subcommand:cancel" help:"cancel a batch job"`
-	Plan    *planCmd    `arg:"subcommand:plan" help:"state intents and see the plan"`
-	Confirm *confirmCmd `arg:"subcommand:confirm" help:"confirm a plan"`
-	Status  *statusCmd  `arg:"subcommand:status" help:"state of the fleet"`
-	History *statusCmd  `arg:"subcommand:history" help:"decided plans, newest first"`
-	Events  *statusCmd  `arg:"subcommand:events" help:"what the entry did and why"`
-	KeyHash *keyHashCmd `arg:"subcommand:key-hash" help:"hash a key for an add_key intent"`
+	Dev         *devCmd        `arg:"subcommand:dev" help:"run a fleet with stand-ins on loopback"`
+	Check       *checkCmd      `arg:"subcommand:check" help:"check a settings file"`
+	CheckConfig *checkCmd      `arg:"subcommand:check-config" help:"alias of check"`
+	Explain     *explainCmd    `arg:"subcommand:explain" help:"show the log lines that concern a request, job or item"`
+	Losses      *lossesCmd     `arg:"subcommand:losses" help:"count late and failed requests, jobs and items in logs by cause"`
+	Quarantine  *quarantineCmd `arg:"subcommand:quarantine" help:"list requests suspected of crashing targets or held in quarantine, or clear one"`
+	Limits      *limitsCmd     `arg:"subcommand:limits" help:"show the rate limits that an entry grants and the request rates of its callers"`
+	Chat        *chatCmd       `arg:"subcommand:chat" help:"send an online request and stream the response"`
+	Submit      *submitCmd     `arg:"subcommand:submit" help:"submit a batch job"`
+	Jobs        *jobsCmd       `arg:"subcommand:jobs" help:"list batch jobs"`
+	Job         *jobCmd        `arg:"subcommand:job" help:"show a batch job"`
+	Results     *resultsCmd    `arg:"subcommand:results" help:"print a job's results"`
+	Cancel      *jobCmd        `arg:"subcommand:cancel" help:"cancel a batch job"`
+	Plan        *planCmd       `arg:"subcommand:plan" help:"propose a plan from intents and show it"`
+	Confirm     *confirmCmd    `arg:"subcommand:confirm" help:"confirm a plan"`
+	Status      *statusCmd     `arg:"subcommand:status" help:"show the state of the fleet"`
+	History     *statusCmd     `arg:"subcommand:history" help:"list decided plans, newest first"`
+	Events      *statusCmd     `arg:"subcommand:events" help:"list recent events of the entry with their reasons"`
+	KeyHash     *keyHashCmd    `arg:"subcommand:key-hash" help:"hash a key for an add_key intent"`
 }
 
 type keyHashCmd struct {
@@ -124,7 +124,7 @@
 	var a args
 	p := arg.MustParse(&a)
 	if p.Subcommand() == nil {
-		p.Fail("a command is missing")
+		p.Fail("a subcommand is required")
 	}
 	ctx, cancel := daemon.Signals()
 	defer cancel()
@@ -137,14 +137,14 @@
 		return runDev(ctx, a.Dev)
 	case a.Check != nil:
 		return runCheck(a.Check)
-	case a.Config != nil:
-		return runCheck(a.Config)
+	case a.CheckConfig != nil:
+		return runCheck(a.CheckConfig)
 	case a.Explain != nil:
 		return runExplain(a.Explain)
 	case a.Losses != nil:
 		return runLosses(a.Losses)
-	case a.Held != nil:
-		return runHeld(ctx, a.Held)
+	case a.Quarantine != nil:
+		return runQuarantine(ctx, a.Quarantine)
 	case a.Limits != nil:
 		return runLimits(ctx, a.Limits)
 	case a.Chat != nil:
@@ -194,12 +194,12 @@
 		"gateway": &settings.Gateway{}, "seat-agent": &settings.SeatAgent{}}
 	set, ok := kinds[cmd.Kind]
 	if !ok {
-		return &settings.Error{File: cmd.File, Problem: "expected entry, agent, standin, gateway or seat-agent before it"}
+		return &settings.Error{File: cmd.File, Problem: "the kind of settings must be entry, agent, standin, gateway or seat-agent"}
 	}
 	if err := settings.Load(cmd.File, set); err != nil {
 		return err
 	}
-	fmt.Println(cmd.File + ": fine")
+	fmt.Println(cmd.File + ": settings are valid")
 	return nil
 }
 
@@ -227,8 +227,8 @@
 		return err
 	}
 	var headers []client.Header
-	if cmd.Job != "" {
-		headers = append(headers, client.Header{Name: entry.HeaderKey, Value: cmd.Job})
+	if cmd.IdempotencyKey != "" {
+		headers = append(headers, client.Header{Name: entry.HeaderKey, Value: cmd.IdempotencyKey})
 	}
 	b, err := c.Submit(ctx, id, "/v1/completions", cmd.Window, headers...)
 	if err != nil {
@@ -254,9 +254,9 @@
 	if cmd.JSON {
 		return printJSON(list)
 	}
-	return table("ID\tSTATUS\tTOTAL\tDONE\tFAILED", func(w *tabwriter.Writer) {
+	return printTable("ID\tSTATUS\tTOTAL\tDONE\tFAILED", func(w *tabwriter.Writer) {
 		for _, b := range list {
-			row(w, b.ID, b.Status, b.RequestCounts.Total, b.RequestCounts.Completed, b.RequestCounts.Failed)
+			printRow(w, b.ID, b.Status, b.RequestCounts.Total, b.RequestCounts.Completed, b.RequestCounts.Failed)
 		}
 	})
 }
@@ -338,7 +338,7 @@
 		fmt.Println("  effect:", e)
 	}
 	if len(p.Missing) > 0 {
-		fmt.Println("  still needs the confirm of:", strings.Join(p.Missing, ", "))
+		fmt.Println("  still needs confirmation from:", strings.Join(p.Missing, ", "))
 	}
 	if p.Status == config.Accepted {
 		fmt.Printf("  accepted at offset %d; in force everywhere: %t\n", p.Decided, p.InForce)
@@ -377,9 +377,9 @@
 		return printJSON(s)
 	}
 	fmt.Printf("%s: ready %t, config offset %d, %d workspaces, behind: %s\n", s.Node, s.Ready, s.Config, s.Workspaces, strings.Join(s.Laggards, ", "))
-	return table("AGENT\tDATA CENTRE\tSEATS\tRUNNING\tQUEUED\tLEAVING\tMODELS", func(w *tabwriter.Writer) {
+	return printTable("AGENT\tDATA CENTRE\tSEATS\tRUNNING\tQUEUED\tLEAVING\tMODELS", func(w *tabwriter.Writer) {
 		for _, a := range s.Agents {
-			row(w, a.Name, a.DataCentre, a.Seats, a.Running, a.Queued, a.Leaving, strings.Join(a.Models, ","))
+			printRow(w, a.Name, a.DataCentre, a.Seats, a.Running, a.Queued, a.Leaving, strings.Join(a.Models, ","))
 		}
 	})
 }
@@ -396,9 +396,9 @@
 	if cmd.JSON {
 		return printJSON(list)
 	}
-	return table("OFFSET\tPLAN\tAUTHOR\tSTATUS\tWHY\tCHANGES", func(w *tabwriter.Writer) {
+	return printTable("OFFSET\tPLAN\tAUTHOR\tSTATUS\tWHY\tCHANGES", func(w *tabwriter.Writer) {
 		for _, p := range list {
-			row(w, p.Decided, p.ID, p.Author, p.Status, p.Why+p.Reason, strings.Join(p.Changes, "; "))
+			printRow(w, p.Decided, p.ID, p.Author, p.Status, p.Why+p.Reason, strings.Join(p.Changes, "; "))
 		}
 	})
 }
@@ -415,9 +415,9 @@
 	if cmd.JSON {
 		return printJSON(list)
 	}
-	return table("TIME\tKIND\tSUBJECT\tREASON", func(w *tabwriter.Writer) {
+	return printTable("TIME\tKIND\tSUBJECT\tREASON", func(w *tabwriter.Writer) {
 		for _, e := range list {
-			row(w, e.Time.Format(time.RFC3339), e.Kind, e.Subject, e.Reason)
+			printRow(w, e.Time.Format(time.RFC3339), e.Kind, e.Subject, e.Reason)
 		}
 	})
 }
@@ -428,17 +428,17 @@
 	return enc.Encode(v)
 }
 
-func table(head string, body func(w *tabwriter.Writer)) error {
+func printTable(header string, body func(w *tabwriter.Writer)) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-	_, _ = fmt.Fprintln(w, head) // Flush reports a failed write
+	_, _ = fmt.Fprintln(w, header) // Flush reports a write error
 	body(w)
 	return w.Flush()
 }
 
-func row(w *tabwriter.Writer, cells ...any) {
+func printRow(w *tabwriter.Writer, cells ...any) {
 	parts := make([]string, len(cells))
 	for n, c := range cells {
 		parts[n] = fmt.Sprint(c)
 	}
-	_, _ = fmt.Fprintln(w, strings.Join(parts, "\t")) // Flush reports a failed write
+	_, _ = fmt.Fprintln(w, strings.Join(parts, "\t")) // Flush reports a write error
 }
--- a/cmd/pumice/quarantine.go
+++ b/cmd/pumice/quarantine.go
@@ -15,21 +15,23 @@
 	"pumiceford/quarantine"
 )
 
-// opsTimeout bounds one call to a process.
-const opsTimeout = 10 * time.Second
+// processCallTimeout bounds one call to a process's metrics address.
+const processCallTimeout = 10 * time.Second
 
-type heldCmd struct {
+type quarantineCmd struct {
 	Metrics string `arg:"--metrics,required" help:"metrics address of any entry or agent, host:port"`
-	Clear   string `arg:"--clear" help:"key of a request to let run again, everywhere"`
+	Clear   string `arg:"--clear" help:"key of the request to release from quarantine on all processes"`
 	JSON    bool   `arg:"--json"`
 }
 
-// errOps says that a process did not answer an operator as it should.
-var errOps = errors.New("process does not answer at its metrics address")
+// errMetricsAddress is returned when a process answers at its metrics address with an error
+// status.
+var errMetricsAddress = errors.New("error response from the process's metrics address")
 
-// runHeld lists the requests that crashes are counted against, or clears one.
-func runHeld(ctx context.Context, cmd *heldCmd) error {
-	ctx, cancel := context.WithTimeout(ctx, opsTimeout)
+// runQuarantine lists the requests that are in quarantine or suspected of crashing targets,
+// or clears one of them.
+func runQuarantine(ctx context.Context, cmd *quarantineCmd) error {
+	ctx, cancel := context.WithTimeout(ctx, processCallTimeout)
 	defer cancel()
 	url := "http://" + cmd.Metrics + "/quarantine"
 	if cmd.Clear != "" {
@@ -37,24 +39,25 @@
 		if err != nil {
 			return err
 		}
-		return callOps(ctx, http.MethodDelete, url+"/"+key.String(), nil)
+		return callProcess(ctx, http.MethodDelete, url+"/"+key.String(), nil)
 	}
 	var all []daemon.HeldRequest
-	if err := callOps(ctx, http.MethodGet, url, &all); err != nil {
+	if err := callProcess(ctx, http.MethodGet, url, &all); err != nil {
 		return err
 	}
 	if cmd.JSON {
 		return printJSON(all)
 	}
-	return table("KEY\tHELD\tUNTIL\tCRASHED", func(w *tabwriter.Writer) {
+	return printTable("KEY\tHELD\tUNTIL\tCRASHED", func(w *tabwriter.Writer) {
 		for _, r := range all {
-			row(w, r.Key, r.Held, r.Until.Format(time.RFC3339), strings.Join(r.Crashed, " "))
+			printRow(w, r.Key, r.Held, r.Until.Format(time.RFC3339), strings.Join(r.Crashed, " "))
 		}
 	})
 }
 
-// callOps makes one call and decodes its answer into reply, unless that is nil.
-func callOps(ctx context.Context, method, url string, reply any) error {
+// callProcess makes one HTTP call and decodes the JSON response into reply, unless reply is
+// nil.
+func callProcess(ctx context.Context, method, url string, reply any) error {
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
 		return err
@@ -63,12 +66,12 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = resp.Body.Close() }() // it was read as far as it is of use
+	defer func() { _ = resp.Body.Close() }() // the response was already read as far as needed
 	switch {
 	case resp.StatusCode == http.StatusNotFound && method == http.MethodDelete:
-		return errors.Wrap(errOps, "nothing counts against this request")
+		return errors.Wrap(errMetricsAddress, "no crashes are recorded against this request")
 	case resp.StatusCode >= http.StatusMultipleChoices:
-		return errors.Wrap(errOps, fmt.Sprint(resp.Status))
+		return errors.Wrap(errMetricsAddress, fmt.Sprint(resp.Status))
 	case reply == nil:
 		return nil
 	}
--- a/cmd/pumiceford/main.go
+++ b/cmd/pumiceford/main.go
@@ -1,8 +1,8 @@
-// Command pumiceford runs a process on the users' platform: an entry before
-// callers, or an agent beside a target.
+// Command pumiceford runs a process on the users' platform: an entry that serves
+// callers, or an agent on the host of a target.
 package main
 
-// Importing C makes the linker use the C library, as the platform's hosts need.
+// Importing C links the binary against the C library, which the platform's hosts require.
 
 import "C"
 
@@ -22,7 +22,7 @@
 
 type args struct {
 	Entry *roleArgs `arg:"subcommand:entry" help:"serve callers and run batch jobs"`
-	Agent *roleArgs `arg:"subcommand:agent" help:"share out the seats of the target on this host"`
+	Agent *roleArgs `arg:"subcommand:agent" help:"allocate the seats of the target on this host"`
 }
 
 // Version implements go-arg's Versioned.
@@ -41,7 +41,7 @@
 		case a.Agent != nil:
 			return platform.RunAgent(stop, reloads, a.Agent.Settings)
 		}
-		parser.Fail("name a role: entry or agent")
+		parser.Fail("a role is required: entry or agent")
 		return nil
 	})
 }
