--- a/losses/batch.go
+++ b/losses/batch.go
@@ -10,29 +10,30 @@
 
 // run is one run of an item.
 type run struct {
-	source string
-	ended  time.Time
-	took   time.Duration
-	why    string
+	source   string
+	endedAt  time.Time
+	duration time.Duration
+	reason   string // why it ended
 }
 
-// item is what the lines tell of one item.
+// item collects the log lines of one item.
 type item struct {
-	runs   []run
-	listed time.Time
-	late   time.Duration
-	dead   bool
+	runs      []run
+	listedAt  time.Time
+	lateBy    time.Duration // after the item was due; negative if it was early
+	abandoned bool
 }
 
-// job is what the lines tell of one job.
+// job collects the log lines of one job.
 type job struct {
-	accepted time.Time
-	took     time.Duration
-	refused  int
-	last     time.Time // refusal
-	items    map[int64]*item
+	acceptedAt    time.Time
+	acceptTime    time.Duration
+	rejections    int
+	lastRejection time.Time
+	items         map[int64]*item
 }
 
+// batch collects the jobs in the logs.
 type batch struct {
 	jobs  map[string]*job
 	order []string
@@ -59,28 +60,28 @@
 	return j.items[index]
 }
 
-func (b *batch) take(l explain.Line) {
-	id := text(l, "job")
+func (b *batch) addLine(l explain.Line) {
+	id := stringField(l, "job")
 	if id == "" {
 		return
 	}
 	switch l.Message {
 	case "jobs: job accepted":
-		if j := b.get(id); j.accepted.IsZero() {
-			j.accepted, j.took = l.Time, millis(l, "took_ms")
+		if j := b.get(id); j.acceptedAt.IsZero() {
+			j.acceptedAt, j.acceptTime = l.Time, millisField(l, "took_ms")
 		}
 	case "jobs: job not accepted":
 		j := b.get(id)
-		j.refused++
-		j.last = l.Time
+		j.rejections++
+		j.lastRejection = l.Time
 	case "batch: item run ended":
-		it := b.get(id).item(number(l, "index"))
-		it.runs = append(it.runs, run{source: l.Source, ended: l.Time, took: millis(l, "took_ms"), why: text(l, "why")})
+		it := b.get(id).item(intField(l, "index"))
+		it.runs = append(it.runs, run{source: l.Source, endedAt: l.Time, duration: millisField(l, "took_ms"), reason: stringField(l, "why")})
 	case "batch: result listed":
-		it := b.get(id).item(number(l, "index"))
-		if it.listed.IsZero() {
-			it.listed, it.late = l.Time, millis(l, "late_ms")
-			it.dead, _ = l.Fields["dead"].(bool)
+		it := b.get(id).item(intField(l, "index"))
+		if it.listedAt.IsZero() {
+			it.listedAt, it.lateBy = l.Time, millisField(l, "late_ms")
+			it.abandoned, _ = l.Fields["dead"].(bool)
 		}
 	}
 }
@@ -90,74 +91,75 @@
 	for _, id := range b.order {
 		j := b.jobs[id]
 		switch {
-		case j.accepted.IsZero() && j.refused > 0:
-			r.add(JobRefused, id, j.last, 0)
-		case j.refused > 0 || j.took > jobAim:
-			r.add(JobLate, id, j.accepted, j.took)
+		case j.acceptedAt.IsZero() && j.rejections > 0:
+			r.add(JobRefused, id, j.lastRejection, 0)
+		case j.rejections > 0 || j.acceptTime > maxAcceptTime:
+			r.add(JobAcceptedLate, id, j.acceptedAt, j.acceptTime)
 		}
 		for index, it := range j.items {
-			if it.listed.IsZero() {
+			if it.listedAt.IsZero() {
 				continue
 			}
 			r.Items++
-			if c := it.cause(j.accepted); c != "" {
-				r.add(c, fmt.Sprintf("%s/%d", id, index), it.listed, max(it.late, 0))
+			if c := it.cause(j.acceptedAt); c != "" {
+				r.add(c, fmt.Sprintf("%s/%d", id, index), it.listedAt, max(it.lateBy, 0))
 			}
 		}
 	}
 }
 
-// cause returns what took the largest part of a late item's time, "" when nothing
-// was lost.
+// cause returns the cause that took the largest part of a late item's time, or "" if the
+// item was on time.
 func (it *item) cause(accepted time.Time) Cause {
-	if it.dead {
-		return ItemGivenUp
+	if it.abandoned {
+		return ItemAbandoned
 	}
-	if it.late <= 0 {
+	if it.lateBy <= 0 {
 		return ""
 	}
 	if len(it.runs) == 0 {
-		return NotListed
+		return ResultListedLate
 	}
-	parts := it.parts(accepted)
-	best, most := SlowRun, time.Duration(0)
-	for _, c := range partOrder {
-		if parts[c] > most {
-			best, most = c, parts[c]
+	spent := it.timeByCause(accepted)
+	cause, longest := SlowRun, time.Duration(0)
+	for _, c := range causePriority {
+		if spent[c] > longest {
+			cause, longest = c, spent[c]
 		}
 	}
-	return best
+	return cause
 }
 
-// partOrder fixes which of two equal parts counts.
-var partOrder = []Cause{NotListed, RunnerGone, RunBroken, CutOff, WaitedForSeat, SlowRun}
+// causePriority orders the causes; the earlier one wins if two took equally long.
+var causePriority = []Cause{ResultListedLate, RunnerLost, RunFailed, Preempted, WaitedForFirstSeat, SlowRun}
 
-// parts splits an item's time by what it was spent on.
-func (it *item) parts(accepted time.Time) map[Cause]time.Duration {
+// timeByCause splits the time from an item's acceptance to its listing by cause. Without an
+// acceptance line the wait before the first run is left out.
+func (it *item) timeByCause(accepted time.Time) map[Cause]time.Duration {
 	out := make(map[Cause]time.Duration)
-	from, why, source := accepted, WaitedForSeat, ""
+	from, waitingFor, source := accepted, WaitedForFirstSeat, ""
 	for _, r := range it.runs {
-		began := r.ended.Add(-r.took)
-		if wait := began.Sub(from); !from.IsZero() && wait > 0 {
+		started := r.endedAt.Add(-r.duration)
+		if wait := started.Sub(from); !from.IsZero() && wait > 0 {
 			if source != "" && source != r.source {
-				why = RunnerGone
+				waitingFor = RunnerLost
 			}
-			out[why] += wait
+			out[waitingFor] += wait
 		}
-		out[SlowRun] += r.took
-		from, source, why = r.ended, r.source, afterRun(r.why)
+		out[SlowRun] += r.duration
+		from, source, waitingFor = r.endedAt, r.source, waitCause(r.reason)
 	}
-	out[NotListed] += it.listed.Sub(from)
+	out[ResultListedLate] += it.listedAt.Sub(from)
 	return out
 }
 
-// afterRun tells what an item waits for after a run.
-func afterRun(why string) Cause {
+// waitCause returns the cause of the wait after a run that ended for the given reason.
+func waitCause(reason string) Cause {
 	switch {
-	case why == "seat asked back":
-		return CutOff
-	case strings.Contains(why, "handed over"):
-		return RunnerGone
+	case reason == "seat asked back":
+		return Preempted
+	case strings.Contains(reason, "handed over"):
+		return RunnerLost
 	}
-	return RunBroken
+	return RunFailed
 }
--- a/losses/lines.go
+++ b/losses/lines.go
@@ -10,24 +10,26 @@
 	"pumiceford/explain"
 )
 
-// text returns a field that is a string, "" when there is none.
-func text(l explain.Line, key string) string {
+// stringField returns a string field, or "" if it is missing or not a string.
+func stringField(l explain.Line, key string) string {
 	s, _ := l.Fields[key].(string)
 	return s
 }
 
-// number returns a field that is a number, 0 when there is none.
-func number(l explain.Line, key string) int64 {
+// intField returns a numeric field truncated to an integer, or 0 if it is missing or not a
+// number.
+func intField(l explain.Line, key string) int64 {
 	f, _ := l.Fields[key].(float64)
 	return int64(f)
 }
 
-func millis(l explain.Line, key string) time.Duration {
-	return time.Duration(number(l, key)) * time.Millisecond
+// millisField returns a numeric field in milliseconds as a duration.
+func millisField(l explain.Line, key string) time.Duration {
+	return time.Duration(intField(l, key)) * time.Millisecond
 }
 
-// most names the seconds with the most losses.
-func most(counts map[int64]int, n int) []string {
+// busiestSeconds returns the n seconds with the highest counts, each as "TIME xCOUNT".
+func busiestSeconds(counts map[int64]int, n int) []string {
 	seconds := slices.SortedFunc(maps.Keys(counts), func(a, b int64) int {
 		return cmp.Or(counts[b]-counts[a], cmp.Compare(a, b))
 	})
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -10,55 +10,56 @@
 	"pumiceford/losses"
 )
 
-// story is a log: each line has the second, the process and the fields.
-func story(t *testing.T, lines ...string) *losses.Report {
+// findLosses returns the report of a log. Each line holds the second, the process and the
+// JSON fields.
+func findLosses(t *testing.T, lines ...string) *losses.Report {
 	t.Helper()
 	var b strings.Builder
 	for _, l := range lines {
 		at, rest, _ := strings.Cut(l, " ")
 		source, fields, _ := strings.Cut(rest, " ")
-		_, _ = fmt.Fprintf(&b, "%s {\"time\":\"2026-01-01T00:00:%sZ\",\"level\":\"info\",%s}\n", source, at, fields) // a Builder never fails
+		_, _ = fmt.Fprintf(&b, "%s {\"time\":\"2026-01-01T00:00:%sZ\",\"level\":\"info\",%s}\n", source, at, fields) // a Builder returns no error
 	}
 	all, err := explain.Read("log", strings.NewReader(b.String()))
 	if err != nil || len(all) != len(lines) {
-		t.Fatalf("%d of %d lines: %v", len(all), len(lines), err)
+		t.Fatalf("read %d of %d lines: %v", len(all), len(lines), err)
 	}
 	return losses.Find(all)
 }
 
-func sent(more string) string {
-	return `"request":"q","message":"online: request sent"` + more
+func requestSent(extra string) string {
+	return `"request":"q","message":"online: request sent"` + extra
 }
 
-func ended(outcome string, first int) string {
+func requestEnded(outcome string, first int) string {
 	return fmt.Sprintf(`"request":"q","message":"online: request ended","outcome":"%s","first_ms":%d,"aim_ms":300`, outcome, first)
 }
 
-func TestRequestsAreSortedByCause(t *testing.T) {
+func TestClassifiesRequestsByCause(t *testing.T) {
 	for _, c := range []struct {
 		want  losses.Cause
 		lines []string
 	}{
-		{"", []string{"01.0 e " + sent(""), "01.1 e " + ended("served", 90)}},
-		{"", []string{"01.0 e " + sent(""), "01.1 e " + ended("caller_left", -1)}},
-		{losses.ProcessGone, []string{"01.0 e " + sent("")}},
+		{"", []string{"01.0 e " + requestSent(""), "01.1 e " + requestEnded("served", 90)}},
+		{"", []string{"01.0 e " + requestSent(""), "01.1 e " + requestEnded("caller_left", -1)}},
+		{losses.ProcessLost, []string{"01.0 e " + requestSent("")}},
 		{losses.NotReady, []string{`01.0 e "request":"q","message":"online: request refused","outcome":"not_ready"`}},
 		{losses.NoRoute, []string{`01.0 e "request":"q","message":"online: request refused","outcome":"no_route"`}},
-		{losses.NoTarget, []string{"01.0 e " + ended("no_target", -1)}},
-		{losses.Quarantined, []string{"01.0 e " + ended("quarantined", -1)}},
-		{losses.Overload, []string{"01.0 e " + ended("overload", -1)}},
-		{losses.AnswerLost, []string{"01.0 e " + sent(""), "01.1 e " + ended("cut_lost", 20)}},
-		{losses.WaitedForSlot, []string{"01.0 e " + sent(`,"waiting":2`), "01.5 e " + ended("served", 500)}},
-		{losses.WaitedForBatch, []string{"01.0 e " + sent(`,"batch":2`), "01.5 e " + ended("served", 500)}},
-		{losses.SlowTarget, []string{"01.0 e " + sent(""), "01.5 e " + ended("served", 500)}},
-		{losses.TargetSilent, []string{"01.0 e " + sent(""),
-			`01.2 e "request":"q","message":"online: sent again; its answer is lost","error":"context canceled"`, "01.5 e " + ended("served", 500)}},
-		{losses.OtherInstance, []string{"01.0 e " + sent(""),
-			`01.2 e "request":"q","message":"online: sent elsewhere; the target did not run it","why":"other_instance"`, "01.5 e " + ended("served", 500)}},
-		{losses.TargetFailed, []string{"01.0 e " + sent(""),
-			`01.2 e "request":"q","message":"online: sent again after a failure","status":500`, "01.5 e " + ended("served", 500)}},
+		{losses.NoTarget, []string{"01.0 e " + requestEnded("no_target", -1)}},
+		{losses.Quarantined, []string{"01.0 e " + requestEnded("quarantined", -1)}},
+		{losses.Overload, []string{"01.0 e " + requestEnded("overload", -1)}},
+		{losses.ResponseLost, []string{"01.0 e " + requestSent(""), "01.1 e " + requestEnded("cut_lost", 20)}},
+		{losses.WaitedForSlot, []string{"01.0 e " + requestSent(`,"waiting":2`), "01.5 e " + requestEnded("served", 500)}},
+		{losses.WaitedForBatch, []string{"01.0 e " + requestSent(`,"batch":2`), "01.5 e " + requestEnded("served", 500)}},
+		{losses.SlowTarget, []string{"01.0 e " + requestSent(""), "01.5 e " + requestEnded("served", 500)}},
+		{losses.TargetUnresponsive, []string{"01.0 e " + requestSent(""),
+			`01.2 e "request":"q","message":"online: sent again; its answer is lost","error":"context canceled"`, "01.5 e " + requestEnded("served", 500)}},
+		{losses.WrongInstance, []string{"01.0 e " + requestSent(""),
+			`01.2 e "request":"q","message":"online: sent elsewhere; the target did not run it","why":"other_instance"`, "01.5 e " + requestEnded("served", 500)}},
+		{losses.TargetFailed, []string{"01.0 e " + requestSent(""),
+			`01.2 e "request":"q","message":"online: sent again after a failure","status":500`, "01.5 e " + requestEnded("served", 500)}},
 	} {
-		r := story(t, c.lines...)
+		r := findLosses(t, c.lines...)
 		var got losses.Cause
 		if len(r.Losses) > 0 {
 			got = r.Losses[0].Cause
@@ -69,32 +70,32 @@
 	}
 }
 
-func accepted(job string) string {
+func jobAccepted(job string) string {
 	return `"job":"` + job + `","message":"jobs: job accepted","took_ms":5`
 }
 
-func ran(why string, took int) string {
+func itemRunEnded(why string, took int) string {
 	return fmt.Sprintf(`"job":"j","item":"i","index":0,"message":"batch: item run ended","why":"%s","took_ms":%d`, why, took)
 }
 
-func listed(late int) string {
+func resultListed(late int) string {
 	return fmt.Sprintf(`"job":"j","index":0,"message":"batch: result listed","late_ms":%d`, late)
 }
 
-func TestItemsAreSortedByWhatTookMost(t *testing.T) {
+func TestClassifiesItemsByLargestDelay(t *testing.T) {
 	for _, c := range []struct {
 		want  losses.Cause
 		lines []string
 	}{
-		{"", []string{"01.0 e " + accepted("j"), "05.0 e " + ran("complete", 4000), "05.1 e " + listed(-100)}},
-		{losses.NotListed, []string{"01.0 e " + accepted("j"), "05.0 e " + ran("complete", 4000), "20.0 e " + listed(1000)}},
-		{losses.WaitedForSeat, []string{"01.0 e " + accepted("j"), "20.0 e " + ran("complete", 4000), "20.1 e " + listed(1000)}},
-		{losses.CutOff, []string{"01.0 e " + accepted("j"), "03.0 e " + ran("seat asked back", 2000), "20.0 e " + ran("complete", 3000), "20.1 e " + listed(1000)}},
-		{losses.RunBroken, []string{"01.0 e " + accepted("j"), "03.0 e " + ran("EOF", 2000), "20.0 e " + ran("complete", 3000), "20.1 e " + listed(1000)}},
-		{losses.RunnerGone, []string{"01.0 e " + accepted("j"), "03.0 e " + ran("seat asked back", 2000), "20.0 f " + ran("complete", 3000), "20.1 f " + listed(1000)}},
-		{losses.SlowRun, []string{"01.0 e " + accepted("j"), "20.0 e " + ran("complete", 18900), "20.1 e " + listed(1000)}},
+		{"", []string{"01.0 e " + jobAccepted("j"), "05.0 e " + itemRunEnded("complete", 4000), "05.1 e " + resultListed(-100)}},
+		{losses.ResultListedLate, []string{"01.0 e " + jobAccepted("j"), "05.0 e " + itemRunEnded("complete", 4000), "20.0 e " + resultListed(1000)}},
+		{losses.WaitedForFirstSeat, []string{"01.0 e " + jobAccepted("j"), "20.0 e " + itemRunEnded("complete", 4000), "20.1 e " + resultListed(1000)}},
+		{losses.Preempted, []string{"01.0 e " + jobAccepted("j"), "03.0 e " + itemRunEnded("seat asked back", 2000), "20.0 e " + itemRunEnded("complete", 3000), "20.1 e " + resultListed(1000)}},
+		{losses.RunFailed, []string{"01.0 e " + jobAccepted("j"), "03.0 e " + itemRunEnded("EOF", 2000), "20.0 e " + itemRunEnded("complete", 3000), "20.1 e " + resultListed(1000)}},
+		{losses.RunnerLost, []string{"01.0 e " + jobAccepted("j"), "03.0 e " + itemRunEnded("seat asked back", 2000), "20.0 f " + itemRunEnded("complete", 3000), "20.1 f " + resultListed(1000)}},
+		{losses.SlowRun, []string{"01.0 e " + jobAccepted("j"), "20.0 e " + itemRunEnded("complete", 18900), "20.1 e " + resultListed(1000)}},
 	} {
-		r := story(t, c.lines...)
+		r := findLosses(t, c.lines...)
 		var got losses.Cause
 		if len(r.Losses) > 0 {
 			got = r.Losses[0].Cause
@@ -105,12 +106,12 @@
 	}
 }
 
-func TestJobsThatCameLateOrNever(t *testing.T) {
-	r := story(t,
-		`01.0 e "job":"late","message":"jobs: job not accepted"`, "02.0 f "+accepted("late"),
-		`03.0 e "job":"never","message":"jobs: job not accepted"`, "04.0 e "+accepted("good"))
-	sums := r.Sums()
-	if r.Jobs != 3 || len(sums) != 2 || r.Losses[0].Cause != losses.JobLate || r.Losses[1].Cause != losses.JobRefused || r.Losses[1].ID != "never" {
+func TestReportsLateAndRefusedJobs(t *testing.T) {
+	r := findLosses(t,
+		`01.0 e "job":"late","message":"jobs: job not accepted"`, "02.0 f "+jobAccepted("late"),
+		`03.0 e "job":"never","message":"jobs: job not accepted"`, "04.0 e "+jobAccepted("good"))
+	sums := r.ByCause()
+	if r.Jobs != 3 || len(sums) != 2 || r.Losses[0].Cause != losses.JobAcceptedLate || r.Losses[1].Cause != losses.JobRefused || r.Losses[1].ID != "never" {
 		t.Fatalf("%+v", r)
 	}
 	var out strings.Builder
--- a/losses/online.go
+++ b/losses/online.go
@@ -7,20 +7,21 @@
 	"pumiceford/explain"
 )
 
-// request is what the lines tell of one online request.
+// request collects the log lines of one online request.
 type request struct {
-	sent    time.Time // the last send
-	resent  Cause     // why it was sent again last, "" when it was not
-	load    int64
-	batch   int64
-	waiting int64
-	ended   bool
-	outcome string
-	at      time.Time
-	first   time.Duration
-	aim     time.Duration
+	lastSent    time.Time
+	resendCause Cause // of the last retry, "" if there was none
+	load        int64
+	batch       int64 // slots of its target held by batch work
+	waiting     int64 // requests waiting for a slot of its target
+	ended       bool
+	outcome     string
+	endedAt     time.Time
+	timeToFirst time.Duration // from its arrival to the first part of the response
+	firstWithin time.Duration // limit of timeToFirst that its route sets; 0 for none
 }
 
+// online collects the online requests in the logs.
 type online struct {
 	requests map[string]*request
 	order    []string
@@ -40,38 +41,38 @@
 	return q
 }
 
-func (o *online) take(l explain.Line) {
-	id := text(l, "request")
-	message, mine := strings.CutPrefix(l.Message, "online: ")
-	if id == "" || !mine {
+func (o *online) addLine(l explain.Line) {
+	id := stringField(l, "request")
+	message, ok := strings.CutPrefix(l.Message, "online: ")
+	if id == "" || !ok {
 		return
 	}
 	switch {
 	case message == "request sent":
 		q := o.get(id)
-		q.sent, q.load, q.batch, q.waiting = l.Time, number(l, "load"), number(l, "batch"), number(l, "waiting")
+		q.lastSent, q.load, q.batch, q.waiting = l.Time, intField(l, "load"), intField(l, "batch"), intField(l, "waiting")
 	case message == "request ended", message == "request refused":
 		q := o.get(id)
-		q.ended, q.at, q.outcome = true, l.Time, text(l, "outcome")
-		q.first, q.aim = millis(l, "first_ms"), millis(l, "aim_ms")
+		q.ended, q.endedAt, q.outcome = true, l.Time, stringField(l, "outcome")
+		q.timeToFirst, q.firstWithin = millisField(l, "first_ms"), millisField(l, "aim_ms")
 	case strings.HasPrefix(message, "sent "), strings.HasPrefix(message, "stream goes on"):
-		o.get(id).resent = resendCause(message, l)
+		o.get(id).resendCause = resendCause(message, l)
 	}
 }
 
-// resendCause tells why a request was sent once more.
+// resendCause returns why a request was sent again.
 func resendCause(message string, l explain.Line) Cause {
 	switch {
-	case text(l, "why") == "other_instance":
-		return OtherInstance
-	case text(l, "why") == "full":
+	case stringField(l, "why") == "other_instance":
+		return WrongInstance
+	case stringField(l, "why") == "full":
 		return TargetFull
 	case strings.HasPrefix(message, "sent again after a failure"):
 		return TargetFailed
-	case strings.Contains(text(l, "error"), "context canceled"):
-		return TargetSilent
+	case strings.Contains(stringField(l, "error"), "context canceled"):
+		return TargetUnresponsive
 	}
-	return TargetGone
+	return TargetUnreachable
 }
 
 func (o *online) report(r *Report) {
@@ -84,36 +85,37 @@
 	}
 }
 
-// refusals are the causes by the outcome that a request's last line names.
-var refusals = map[string]Cause{
+// causeByOutcome maps the outcome in a request's last line to its cause.
+var causeByOutcome = map[string]Cause{
 	"not_ready": NotReady, "no_route": NoRoute, "no_target": NoTarget, "overload": Overload,
-	"unknown_key": UnknownKey, "stale_configuration": StaleKey, "over_limit": OverLimit, "limit_unknown": LimitUnknown,
+	"unknown_key": UnknownKey, "stale_configuration": KeyUnconfirmed, "over_limit": OverLimit, "limit_unknown": LimitUnknown,
 	"quarantined": Quarantined, "cut_quarantined": Quarantined,
-	"lost": AnswerLost, "cut_lost": AnswerLost, "timed_out": TimeOver, "cut_timed_out": TimeOver,
+	"lost": ResponseLost, "cut_lost": ResponseLost, "timed_out": DeadlineExceeded, "cut_timed_out": DeadlineExceeded,
 }
 
-// loss returns the cause, "" when nothing was lost.
+// loss returns the cause, the delay and the time of a loss. The cause is "" if the request
+// was served in time or its caller left.
 func (q *request) loss() (Cause, time.Duration, time.Time) {
 	switch {
 	case !q.ended:
-		return ProcessGone, 0, q.sent
+		return ProcessLost, 0, q.lastSent
 	case q.outcome == "caller_left":
-		return "", 0, q.at
+		return "", 0, q.endedAt
 	case q.outcome != "served":
-		if c, ok := refusals[q.outcome]; ok {
-			return c, 0, q.at
+		if c, ok := causeByOutcome[q.outcome]; ok {
+			return c, 0, q.endedAt
 		}
-		return OtherOnline, 0, q.at
-	case q.aim <= 0 || q.first <= q.aim:
-		return "", 0, q.at
+		return OtherOnline, 0, q.endedAt
+	case q.firstWithin <= 0 || q.timeToFirst <= q.firstWithin:
+		return "", 0, q.endedAt
 	}
-	return q.lateCause(), q.first - q.aim, q.at
+	return q.lateCause(), q.timeToFirst - q.firstWithin, q.endedAt
 }
 
 func (q *request) lateCause() Cause {
 	switch {
-	case q.resent != "":
-		return q.resent
+	case q.resendCause != "":
+		return q.resendCause
 	case q.waiting > 0:
 		return WaitedForSlot
 	case q.batch > 0:
