--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain finds in the logs of several processes what happened to one
-// request, job or item, and what else those processes believed meanwhile.
+// Package explain extracts from the logs of several processes the timeline of one
+// request, job or item, with related events at the same processes and targets.
 package explain
 
 import (
@@ -18,46 +18,45 @@
 
 // Line is one line of a log.
 type Line struct {
-	Source  string // file or process that wrote it
+	Source  string // process that wrote it, or else the file
 	Time    time.Time
 	Level   string
 	Message string
-	Fields  map[string]any // all others
+	Fields  map[string]any // all other fields
 }
 
 // maxLineBytes bounds one line of a log.
 const maxLineBytes = 1 << 20
 
-// Read reads the structured lines of a log; others are left out. Whatever stands
-// before a line's first brace, such as a time and the name of a host, is taken for
-// its source.
+// Read returns the structured lines of a log and skips all others. The last word before a
+// line's first brace, such as the host name after a time, replaces source for that line.
 func Read(source string, r io.Reader) ([]Line, error) {
-	in := bufio.NewScanner(r)
-	in.Buffer(nil, maxLineBytes)
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(nil, maxLineBytes)
 	var out []Line
-	for in.Scan() {
-		if l, ok := parse(source, in.Bytes()); ok {
+	for scanner.Scan() {
+		if l, ok := parse(source, scanner.Bytes()); ok {
 			out = append(out, l)
 		}
 	}
-	return out, errors.Wrapf(in.Err(), "log %s", source)
+	return out, errors.Wrapf(scanner.Err(), "log %s", source)
 }
 
 func parse(source string, raw []byte) (Line, bool) {
-	at := bytes.IndexByte(raw, '{')
-	if at < 0 {
+	brace := bytes.IndexByte(raw, '{')
+	if brace < 0 {
 		return Line{}, false
 	}
-	if before := strings.Fields(string(raw[:at])); len(before) > 0 {
+	if before := strings.Fields(string(raw[:brace])); len(before) > 0 {
 		source = before[len(before)-1]
 	}
 	l := Line{Source: source}
-	if json.Unmarshal(raw[at:], &l.Fields) != nil {
+	if json.Unmarshal(raw[brace:], &l.Fields) != nil {
 		return Line{}, false
 	}
-	stamp, _ := l.Fields["time"].(string)
+	timestamp, _ := l.Fields["time"].(string)
 	var err error
-	if l.Time, err = time.Parse(time.RFC3339Nano, stamp); err != nil {
+	if l.Time, err = time.Parse(time.RFC3339Nano, timestamp); err != nil {
 		return Line{}, false
 	}
 	l.Level, _ = l.Fields["level"].(string)
@@ -68,68 +67,69 @@
 	return l, true
 }
 
-// Story is what the logs tell of one id.
-type Story struct {
-	Lines []Line // that name the id, by time
-	// Around are lines of the same processes at the same time that change what
-	// they believe, and those of the targets involved.
-	Around []Line
+// Timeline holds the log lines that concern one ID.
+type Timeline struct {
+	Lines []Line // lines that mention the ID, ordered by time
+	// Related holds lines from the same period that belong to no request, job or item and
+	// come from the same processes, and lines of any process about the targets involved.
+	Related []Line
 }
 
-// idFields are the fields that name a request, job or item, or all attempts at one.
+// idFields are the fields that identify a request, job or item, or all attempts at one.
 var idFields = []string{"request", "job", "item", "key"}
 
-// margin is how long before its first line and after its last a request may have
-// been affected: an ejection or outage just before it decides where it goes.
-const margin = 3 * time.Second
+// contextMargin extends the period of related lines before the first line of an ID and
+// after its last one: an ejection or outage just before a request decides where it is sent.
+const contextMargin = 3 * time.Second
 
-// Find returns the story of an id.
-func Find(all []Line, id string) Story {
+// Find returns the timeline of an ID in the lines of several logs. It sorts all by time in
+// place.
+func Find(all []Line, id string) Timeline {
 	slices.SortStableFunc(all, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	var s Story
+	var t Timeline
 	for _, l := range all {
-		if l.names(id) {
-			s.Lines = append(s.Lines, l)
+		if l.mentions(id) {
+			t.Lines = append(t.Lines, l)
 		}
 	}
-	if len(s.Lines) == 0 {
-		return s
+	if len(t.Lines) == 0 {
+		return t
 	}
-	from, to := s.window()
+	from, to := t.window()
 	sources, instances := make(map[string]bool), make(map[string]bool)
-	for _, l := range s.Lines {
+	for _, l := range t.Lines {
 		sources[l.Source] = true
 		if in, ok := l.Fields["instance"].(string); ok && in != "" {
 			instances[in] = true
 		}
 	}
 	for _, l := range all {
-		if l.names(id) || l.Time.Before(from) || l.Time.After(to) {
+		if l.mentions(id) || l.Time.Before(from) || l.Time.After(to) {
 			continue
 		}
-		if l.tells(instances) || (sources[l.Source] && !l.ofAny()) {
-			s.Around = append(s.Around, l)
+		if l.concerns(instances) || (sources[l.Source] && !l.hasID()) {
+			t.Related = append(t.Related, l)
 		}
 	}
-	return s
+	return t
 }
 
-// window is when things happened that may matter: from before the request came,
-// which is its end less the time that it took.
-func (s Story) window() (from, to time.Time) {
-	from, to = s.Lines[0].Time, s.Lines[len(s.Lines)-1].Time
-	for _, l := range s.Lines {
+// window returns the period of related lines. It begins before the request arrived, which
+// is its end less its duration, even if its first line was logged later.
+func (t Timeline) window() (from, to time.Time) {
+	from, to = t.Lines[0].Time, t.Lines[len(t.Lines)-1].Time
+	for _, l := range t.Lines {
 		took, _ := l.Fields["took_ms"].(float64)
-		if began := l.Time.Add(-time.Duration(took) * time.Millisecond); began.Before(from) {
-			from = began
+		if start := l.Time.Add(-time.Duration(took) * time.Millisecond); start.Before(from) {
+			from = start
 		}
 	}
-	return from.Add(-margin), to.Add(margin)
+	return from.Add(-contextMargin), to.Add(contextMargin)
 }
 
-func (l Line) names(id string) bool {
+func (l Line) mentions(id string) bool {
 	for _, f := range idFields {
-		// A job's id may stand behind its workspace.
+		// A job's ID may be prefixed with its workspace.
 		if v, ok := l.Fields[f].(string); ok && (v == id || strings.HasSuffix(v, ":"+id)) {
 			return true
 		}
@@ -137,8 +137,8 @@
 	return false
 }
 
-// ofAny reports whether a line belongs to some request, job or item.
-func (l Line) ofAny() bool {
+// hasID reports whether a line belongs to some request, job or item.
+func (l Line) hasID() bool {
 	for _, f := range idFields {
 		if _, ok := l.Fields[f]; ok {
 			return true
@@ -147,33 +147,33 @@
 	return false
 }
 
-// tells reports whether a line of any process tells that something is wrong with
-// one of the targets, or that it goes.
-func (l Line) tells(instances map[string]bool) bool {
+// concerns reports whether a line is about a fault or the departure of one of the target
+// instances.
+func (l Line) concerns(instances map[string]bool) bool {
 	in, ok := l.Fields["instance"].(string)
 	if !ok || !instances[in] {
 		return false
 	}
-	return l.Level != "info" || (!l.ofAny() && !strings.HasSuffix(l.Message, "joined"))
+	return l.Level != "info" || (!l.hasID() && !strings.HasSuffix(l.Message, "joined"))
 }
 
-// Write prints a story.
-func (s Story) Write(w io.Writer, id string) error {
-	if len(s.Lines) == 0 {
-		_, err := fmt.Fprintf(w, "No line names %s. Either another process took it, or lines were left out: look for \"lines left out\".\n", id)
+// Write prints the timeline of an ID.
+func (t Timeline) Write(w io.Writer, id string) error {
+	if len(t.Lines) == 0 {
+		_, err := fmt.Fprintf(w, "No line names %s. Either another process handled it or lines were dropped: search the logs for \"lines left out\".\n", id)
 		return err
 	}
 	if _, err := fmt.Fprintf(w, "What happened to %s:\n", id); err != nil {
 		return err
 	}
-	start := s.Lines[0].Time
-	if err := writeLines(w, s.Lines, start); err != nil || len(s.Around) == 0 {
+	start := t.Lines[0].Time
+	if err := writeLines(w, t.Lines, start); err != nil || len(t.Related) == 0 {
 		return err
 	}
-	if _, err := fmt.Fprintln(w, "\nWhat these processes and targets went through meanwhile:"); err != nil {
+	if _, err := fmt.Fprintln(w, "\nOther events at these processes and targets in the same period:"); err != nil {
 		return err
 	}
-	return writeLines(w, s.Around, start)
+	return writeLines(w, t.Related, start)
 }
 
 func writeLines(w io.Writer, lines []Line, start time.Time) error {
