--- a/logging/async.go
+++ b/logging/async.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// Bounds of an Async writer.
+// Limits of an Async writer.
 const (
-	// asyncLines is how many lines may wait to be written.
-	asyncLines = 2048
-	// asyncPerSecond bounds the lines of one second: three for each of the
-	// requests that one entry serves at its peak.
-	asyncPerSecond = 600
+	// maxQueuedLines is the capacity of the queue of unwritten lines.
+	maxQueuedLines = 2048
+	// maxLinesPerSecond allows three lines for each of the requests that one entry serves
+	// per second at its peak.
+	maxLinesPerSecond = 600
 )
 
-// Async writes lines in a goroutine of its own. Write never blocks: when the
-// reader of the output stalls, or lines come faster than asyncPerSecond, lines
-// are left out, and how many is written later.
+// Async writes lines in its own goroutine. Write never blocks: when the reader of the
+// output stalls or lines come faster than maxLinesPerSecond, it drops lines, and the number
+// of dropped lines is logged before the next line that is written.
 type Async struct {
-	out     io.Writer
-	lines   chan []byte
-	left    atomic.Uint64 // lines left out, not told yet
-	total   atomic.Uint64
-	second  atomic.Int64 // the second that count belongs to
-	count   atomic.Int64
-	flushed chan struct{}
+	out        io.Writer
+	lines      chan []byte
+	unreported atomic.Uint64 // dropped lines that no line has reported yet
+	dropped    atomic.Uint64
+	second     atomic.Int64 // Unix second that count belongs to
+	count      atomic.Int64
+	done       chan struct{}
 }
 
-// NewAsync returns an Async writer to out. Close ends it.
+// NewAsync returns an Async writer to out and starts its goroutine, which Close stops.
 func NewAsync(out io.Writer) *Async {
-	a := &Async{out: out, lines: make(chan []byte, asyncLines), flushed: make(chan struct{})}
+	a := &Async{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go a.run()
 	return a
 }
 
-// Write implements io.Writer. It takes one line.
+// Write implements io.Writer. p must be one line. It never returns an error.
 func (a *Async) Write(p []byte) (int, error) {
-	if !a.admit(time.Now().Unix()) {
+	if !a.allow(time.Now().Unix()) {
 		a.drop()
 		return len(p), nil
 	}
@@ -51,43 +51,45 @@
 	return len(p), nil
 }
 
-func (a *Async) admit(now int64) bool {
+func (a *Async) allow(now int64) bool {
 	if a.second.Swap(now) != now {
 		a.count.Store(0)
 	}
-	return a.count.Add(1) <= asyncPerSecond
+	return a.count.Add(1) <= maxLinesPerSecond
 }
 
 func (a *Async) drop() {
-	a.left.Add(1)
-	a.total.Add(1)
+	a.unreported.Add(1)
+	a.dropped.Add(1)
 }
 
-// LeftOut returns how many lines were left out so far.
-func (a *Async) LeftOut() uint64 {
-	return a.total.Load()
+// Dropped returns the number of lines dropped so far.
+func (a *Async) Dropped() uint64 {
+	return a.dropped.Load()
 }
 
 func (a *Async) run() {
-	defer close(a.flushed)
+	defer close(a.done)
 	for line := range a.lines {
-		if n := a.left.Swap(0); n > 0 {
+		if n := a.unreported.Swap(0); n > 0 {
 			a.write([]byte(`{"level":"warn","message":"log: lines left out","count":` + strconv.FormatUint(n, 10) + "}\n"))
 		}
 		a.write(line)
 	}
 }
 
-// write writes one line. An output that fails has nobody left to tell.
+// write writes one line. It ignores a write error, since the output is the only place to
+// report one.
 func (a *Async) write(line []byte) {
 	_, _ = a.out.Write(line)
 }
 
-// Close writes what waits, for at most limit. Nothing may be written after it.
-func (a *Async) Close(limit time.Duration) {
+// Close writes the queued lines and waits at most timeout for that. Write must not be called
+// after it.
+func (a *Async) Close(timeout time.Duration) {
 	close(a.lines)
 	select {
-	case <-a.flushed:
-	case <-time.After(limit):
+	case <-a.done:
+	case <-time.After(timeout):
 	}
 }
--- a/logging/async_test.go
+++ b/logging/async_test.go
@@ -12,65 +12,65 @@
 	"pumiceford/logging"
 )
 
-// stalled is an output whose reader has stopped reading.
-type stalled struct {
-	mu   sync.Mutex
-	open chan struct{}
-	got  bytes.Buffer
+// blockedWriter blocks each write until unblocked is closed, like a pipe whose reader has
+// stopped reading.
+type blockedWriter struct {
+	mu        sync.Mutex
+	unblocked chan struct{}
+	got       bytes.Buffer
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
-	<-s.open
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.got.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.unblocked
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.got.Write(p)
 }
 
-// Symptom: requests hang when whoever reads the log stops reading.
-// Cause: a line was written by the request itself.
-func TestAStalledReaderDelaysNothing(t *testing.T) {
+// Requests hang when the reader of the log stops reading, if the request's own goroutine
+// writes the line.
+func TestWriteDoesNotBlockOnStalledReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stalled{open: make(chan struct{})}
+		out := &blockedWriter{unblocked: make(chan struct{})}
 		a := logging.NewAsync(out)
-		// Ten seconds of many lines: more than may wait to be written.
+		// Ten seconds of 1,000 lines each exceed the queue.
 		for i := range 10 {
-			began := time.Now()
+			start := time.Now()
 			for j := range 1000 {
 				if _, err := fmt.Fprintf(a, "line %d\n", 1000*i+j); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if took := time.Since(began); took > 0 {
-				t.Fatalf("writing took %s", took)
+			if took := time.Since(start); took > 0 {
+				t.Fatalf("writes blocked for %s", took)
 			}
 			time.Sleep(time.Second)
 		}
-		if a.LeftOut() == 0 {
-			t.Fatal("nothing was left out although nobody reads")
+		if a.Dropped() == 0 {
+			t.Fatal("no lines were dropped although the reader is stalled")
 		}
-		close(out.open)
+		close(out.unblocked)
 		synctest.Wait()
 		time.Sleep(2 * time.Second)
 		_, _ = fmt.Fprintf(a, "last\n")
 		a.Close(time.Second)
 		text := out.got.String()
-		told := uint64(0)
+		reported := uint64(0)
 		for _, part := range strings.Split(text, `"count":`)[1:] {
 			var n uint64
 			if _, err := fmt.Sscanf(part, "%d", &n); err != nil {
 				t.Fatal(err)
 			}
-			told += n
+			reported += n
 		}
-		if !strings.Contains(text, "line 0\n") || !strings.Contains(text, "last\n") || told != a.LeftOut() {
-			t.Fatalf("%d lines left out, %d told", a.LeftOut(), told)
+		if !strings.Contains(text, "line 0\n") || !strings.Contains(text, "last\n") || reported != a.Dropped() {
+			t.Fatalf("%d lines dropped, %d reported", a.Dropped(), reported)
 		}
 	})
 }
 
-// Symptom: a storm of lines takes the processor from requests.
-// Cause: no bound on lines.
-func TestLinesOfASecondAreBounded(t *testing.T) {
+// A burst of log lines takes CPU time from requests if the lines per second are not bounded.
+func TestLimitsLinesPerSecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		a := logging.NewAsync(&out)
@@ -82,7 +82,7 @@
 		}
 		a.Close(time.Second)
 		if n := strings.Count(out.String(), "x\n"); n < 1000 || n > 3000 {
-			t.Fatalf("%d lines of three seconds", n)
+			t.Fatalf("%d lines written in three seconds, want 1000 to 3000", n)
 		}
 	})
 }
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging sets up phuslu/log for the daemons. Every part of the system
-// logs short sentences behind a fixed prefix.
+// Package logging sets up phuslu/log for the daemons. Each component logs short sentences
+// with a fixed prefix.
 package logging
 
 import (
@@ -9,13 +9,13 @@
 	"github.com/phuslu/log"
 )
 
-// Logger logs for one part of the system. The zero Logger drops everything.
+// Logger logs for one component with its prefix. The zero Logger discards all lines.
 type Logger struct {
 	base   *log.Logger
 	prefix string
 }
 
-// Settings say where and how much to log.
+// Settings selects the level, format and destination of log lines.
 type Settings struct {
 	Level  string    // trace, debug, info, warn or error; default info
 	Format string    // json or console; default console
@@ -40,12 +40,12 @@
 	return Logger{base: base}
 }
 
-// Part returns a Logger whose lines start with name.
+// Part returns a Logger whose messages start with name and a colon.
 func (l Logger) Part(name string) Logger {
 	return Logger{base: l.base, prefix: name + ": "}
 }
 
-// Field is one named value of a line.
+// Field is one key and value of a log line.
 type Field struct {
 	Key   string
 	Value any
@@ -56,28 +56,28 @@
 	return Field{Key: key, Value: value}
 }
 
-// Info logs an ordinary event.
+// Info logs a normal event.
 func (l Logger) Info(msg string, fields ...Field) {
 	if l.base != nil {
 		l.write(l.base.Info(), msg, fields)
 	}
 }
 
-// Warn logs something that an operator may want to look at.
+// Warn logs a condition that an operator may want to check.
 func (l Logger) Warn(msg string, fields ...Field) {
 	if l.base != nil {
 		l.write(l.base.Warn(), msg, fields)
 	}
 }
 
-// Error logs a failure that needs an operator.
+// Error logs a failure that requires an operator.
 func (l Logger) Error(msg string, fields ...Field) {
 	if l.base != nil {
 		l.write(l.base.Error(), msg, fields)
 	}
 }
 
-// Debug logs detail.
+// Debug logs details for troubleshooting.
 func (l Logger) Debug(msg string, fields ...Field) {
 	if l.base != nil {
 		l.write(l.base.Debug(), msg, fields)
