--- a/apierr/apierr.go
+++ b/apierr/apierr.go
@@ -1,5 +1,5 @@
-// Package apierr defines the typed failures that callers and operators see.
-// Each has a stable code, an HTTP status and a statement of whether the request
+// Package apierr defines the typed errors of the API for callers and operators.
+// Each has a stable code, an HTTP status and an indication of whether the request
 // was executed.
 package apierr
 
@@ -13,10 +13,10 @@
 	"pumiceford/wire"
 )
 
-// Code is a stable, machine-readable name of a failure.
+// Code is a stable, machine-readable error code.
 type Code string
 
-// The codes. They are part of the callers' interface and never change meaning.
+// Error codes. They are part of the API and never change meaning.
 const (
 	CodeBadRequest       Code = "bad_request"
 	CodeTooLarge         Code = "too_large"
@@ -42,12 +42,12 @@
 	CodeInternal         Code = "internal"
 )
 
-// Error is a failure with its code and whether the request ran.
+// Error is an API error with its code and whether the request was executed.
 type Error struct {
 	Code       Code
 	Message    string
 	Ran        wire.Ran
-	RetryAfter time.Duration // zero when coming back does not help
+	RetryAfter time.Duration // zero if retrying does not help
 }
 
 // Error implements error.
@@ -70,15 +70,15 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...), Ran: wire.Ran_RAN_YES}
 }
 
-// After returns a copy of e that tells the caller when to come back.
+// After returns a copy of e that tells the caller to retry after d.
 func (e *Error) After(d time.Duration) *Error {
 	out := *e
 	out.RetryAfter = d
 	return &out
 }
 
-// From finds the Error inside err. Any other failure becomes CodeInternal with
-// an unknown outcome, because nothing is known about it.
+// From returns the Error in the chain of err, or nil for nil. Any other error becomes
+// CodeInternal with an unknown outcome, since it may have come before or after execution.
 func From(err error) *Error {
 	if err == nil {
 		return nil
@@ -90,7 +90,7 @@
 	return Unknown(CodeInternal, "%v", err)
 }
 
-// Is reports whether err carries code.
+// Is reports whether the chain of err contains an Error with code.
 func Is(err error, code Code) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Code == code
@@ -129,7 +129,7 @@
 	return http.StatusInternalServerError
 }
 
-// ToWire converts e for a stream between our processes.
+// ToWire converts e for transmission to another process.
 func (e *Error) ToWire() *wire.Failure {
 	return &wire.Failure{
 		Code:         string(e.Code),
@@ -139,7 +139,7 @@
 	}
 }
 
-// FromWire converts a failure received from another process.
+// FromWire converts an error received from another process.
 func FromWire(f *wire.Failure) *Error {
 	return &Error{
 		Code:       Code(f.GetCode()),
--- a/client/client.go
+++ b/client/client.go
@@ -1,5 +1,5 @@
-// Package client calls the callers' and operators' interfaces of an entry. The
-// command line uses it; programs may use any OpenAI client instead.
+// Package client calls the APIs of an entry for callers and operators. The command
+// line uses it; programs may use any OpenAI client for the callers' API instead.
 package client
 
 import (
@@ -22,7 +22,7 @@
 	"pumiceford/wire"
 )
 
-// Client calls one interface with one key.
+// Client calls the API of one entry with one key.
 type Client struct {
 	base string
 	key  string
@@ -33,7 +33,7 @@
 func New(base, key string) (*Client, error) {
 	cl, err := httpx.NewClient()
 	if err != nil {
-		return nil, errors.Wrap(err, "http client")
+		return nil, errors.Wrap(err, "create HTTP client")
 	}
 	return &Client{base: base, key: key, http: cl}, nil
 }
@@ -46,7 +46,7 @@
 	} `json:"error"`
 }
 
-func (r errorReply) err() *apierr.Error {
+func (r errorReply) apiError() *apierr.Error {
 	ran := wire.Ran_RAN_UNKNOWN
 	switch r.Error.Ran {
 	case "no":
@@ -62,35 +62,35 @@
 	Name, Value string
 }
 
-// Raw makes a request and returns the body of a successful answer. A refusal is
-// an apierr.Error.
+// Raw makes a request and returns the body of a successful response. Any error is an
+// apierr.Error.
 func (c *Client) Raw(ctx context.Context, method, path, contentType string, body []byte, headers ...Header) ([]byte, error) {
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
 	defer protocol.ReleaseResponse(resp)
-	c.fill(req, method, path, contentType, body, headers)
+	c.prepare(req, method, path, contentType, body, headers)
 	if err := c.http.Do(ctx, req, resp); err != nil {
-		return nil, apierr.Unknown(apierr.CodeOutcomeUnknown, "no answer: %v", err)
+		return nil, apierr.Unknown(apierr.CodeOutcomeUnknown, "no response: %v", err)
 	}
 	data, err := resp.BodyE()
 	if err != nil {
-		return nil, apierr.Unknown(apierr.CodeOutcomeUnknown, "answer cut off: %v", err)
+		return nil, apierr.Unknown(apierr.CodeOutcomeUnknown, "response truncated: %v", err)
 	}
 	if resp.StatusCode() >= http.StatusBadRequest {
-		return nil, refusal(resp.StatusCode(), data)
+		return nil, responseError(resp.StatusCode(), data)
 	}
 	return bytes.Clone(data), nil
 }
 
-func refusal(status int, data []byte) error {
+func responseError(status int, data []byte) error {
 	var r errorReply
 	if json.Unmarshal(data, &r) != nil || r.Error.Code == "" {
-		return apierr.Unknown(apierr.CodeInternal, "status %d", status)
+		return apierr.Unknown(apierr.CodeInternal, "unexpected response with status %d", status)
 	}
-	return r.err()
+	return r.apiError()
 }
 
-func (c *Client) fill(req *protocol.Request, method, path, contentType string, body []byte, headers []Header) {
+func (c *Client) prepare(req *protocol.Request, method, path, contentType string, body []byte, headers []Header) {
 	req.SetMethod(method)
 	req.SetRequestURI(c.base + path)
 	req.Header.Set("Authorization", "Bearer "+c.key)
@@ -103,13 +103,14 @@
 	req.SetBody(body)
 }
 
-// JSON makes a request with a JSON body and reads the JSON answer into out.
+// JSON makes a request with in as the JSON body and decodes the JSON response into out.
+// Either may be nil.
 func (c *Client) JSON(ctx context.Context, method, path string, in, out any, headers ...Header) error {
 	var body []byte
 	if in != nil {
 		data, err := json.Marshal(in)
 		if err != nil {
-			return apierr.New(apierr.CodeBadRequest, "body: %v", err)
+			return apierr.New(apierr.CodeBadRequest, "encode request body: %v", err)
 		}
 		body = data
 	}
@@ -121,12 +122,12 @@
 		return nil
 	}
 	if err := json.Unmarshal(data, out); err != nil {
-		return apierr.Executed(apierr.CodeInternal, "answer: %v", err)
+		return apierr.Executed(apierr.CodeInternal, "invalid response: %v", err)
 	}
 	return nil
 }
 
-// CompletionRequest is an online request.
+// CompletionRequest is the body of an online completion request.
 type CompletionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -134,7 +135,7 @@
 	Stream    bool   `json:"stream"`
 }
 
-type streamEvent struct {
+type streamChunk struct {
 	Choices []struct {
 		Text         string `json:"text"`
 		FinishReason string `json:"finish_reason"`
@@ -142,28 +143,28 @@
 	errorReply
 }
 
-// Stream runs an online request and gives each piece of text to sink. It returns
-// nil only for a whole answer.
+// Stream runs an online request and passes each piece of text to sink. It returns nil only
+// for a complete response.
 func (c *Client) Stream(ctx context.Context, r CompletionRequest, sink func(string), headers ...Header) error {
 	r.Stream = true
 	body, err := json.Marshal(r)
 	if err != nil {
-		return apierr.New(apierr.CodeBadRequest, "body: %v", err)
+		return apierr.New(apierr.CodeBadRequest, "encode request body: %v", err)
 	}
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
 	defer protocol.ReleaseResponse(resp)
-	c.fill(req, http.MethodPost, "/v1/completions", "application/json", body, headers)
+	c.prepare(req, http.MethodPost, "/v1/completions", "application/json", body, headers)
 	if err := c.http.Do(ctx, req, resp); err != nil {
-		return apierr.Unknown(apierr.CodeOutcomeUnknown, "no answer: %v", err)
+		return apierr.Unknown(apierr.CodeOutcomeUnknown, "no response: %v", err)
 	}
 	if resp.StatusCode() >= http.StatusBadRequest {
 		data, _ := resp.BodyE()
-		return refusal(resp.StatusCode(), data)
+		return responseError(resp.StatusCode(), data)
 	}
 	rd, err := sse.NewReader(resp)
 	if err != nil {
-		return apierr.Unknown(apierr.CodeInternal, "answer: %v", err)
+		return apierr.Unknown(apierr.CodeInternal, "invalid response: %v", err)
 	}
 	defer func() { _ = rd.Close() }()
 	return readStream(rd, sink)
@@ -175,19 +176,19 @@
 	for {
 		if err := rd.Read(ev); err != nil {
 			if errors.Is(err, io.EOF) {
-				return apierr.Unknown(apierr.CodeOutcomeUnknown, "answer cut off")
+				return apierr.Unknown(apierr.CodeOutcomeUnknown, "response truncated: the stream ended before [DONE]")
 			}
-			return apierr.Unknown(apierr.CodeOutcomeUnknown, "answer: %v", err)
+			return apierr.Unknown(apierr.CodeOutcomeUnknown, "invalid response: %v", err)
 		}
 		if string(ev.Data) == "[DONE]" {
 			return nil
 		}
-		var e streamEvent
+		var e streamChunk
 		if err := json.Unmarshal(ev.Data, &e); err != nil {
-			return apierr.Unknown(apierr.CodeInternal, "answer: %v", err)
+			return apierr.Unknown(apierr.CodeInternal, "invalid response: %v", err)
 		}
 		if e.Error.Code != "" {
-			return e.err()
+			return e.apiError()
 		}
 		for _, ch := range e.Choices {
 			sink(ch.Text)
@@ -195,7 +196,7 @@
 	}
 }
 
-// Batch is a job as callers see it.
+// Batch is a job as the API returns it.
 type Batch struct {
 	ID            string `json:"id"`
 	Status        string `json:"status"`
@@ -210,12 +211,12 @@
 	} `json:"request_counts"`
 }
 
-// Ended reports whether the job has reached its end.
+// Ended reports whether the job is completed or cancelled.
 func (b Batch) Ended() bool {
 	return b.Status == "completed" || b.Status == "cancelled"
 }
 
-// Upload stores a batch file and returns its id.
+// Upload stores a batch file and returns its ID.
 func (c *Client) Upload(ctx context.Context, name string, data []byte) (string, error) {
 	var body bytes.Buffer
 	w := multipart.NewWriter(&body)
@@ -240,12 +241,12 @@
 		ID string `json:"id"`
 	}
 	if err := json.Unmarshal(reply, &f); err != nil {
-		return "", apierr.Executed(apierr.CodeInternal, "answer: %v", err)
+		return "", apierr.Executed(apierr.CodeInternal, "invalid response: %v", err)
 	}
 	return f.ID, nil
 }
 
-// Submit creates a job over an uploaded file.
+// Submit creates a job from an uploaded file.
 func (c *Client) Submit(ctx context.Context, file, endpoint, window string, headers ...Header) (Batch, error) {
 	var b Batch
 	in := map[string]string{"input_file_id": file, "endpoint": endpoint, "completion_window": window}
@@ -253,14 +254,14 @@
 	return b, err
 }
 
-// Batch reads a job.
+// Batch returns a job.
 func (c *Client) Batch(ctx context.Context, id string) (Batch, error) {
 	var b Batch
 	err := c.JSON(ctx, http.MethodGet, "/v1/batches/"+id, nil, &b)
 	return b, err
 }
 
-// Batches lists the newest jobs.
+// Batches returns up to 100 of the newest jobs.
 func (c *Client) Batches(ctx context.Context) ([]Batch, error) {
 	var list struct {
 		Data []Batch `json:"data"`
@@ -269,36 +270,36 @@
 	return list.Data, err
 }
 
-// Cancel cancels a job. Its status is "cancelling" until nothing of it runs.
+// Cancel cancels a job. Its status is "cancelling" until none of its items run.
 func (c *Client) Cancel(ctx context.Context, id string) (Batch, error) {
 	var b Batch
 	err := c.JSON(ctx, http.MethodPost, "/v1/batches/"+id+"/cancel", nil, &b)
 	return b, err
 }
 
-// Content reads a file.
+// Content returns the content of a file.
 func (c *Client) Content(ctx context.Context, id string) ([]byte, error) {
 	return c.Raw(ctx, http.MethodGet, "/v1/files/"+id+"/content", "", nil)
 }
 
-// Wait polls a job until it has ended.
-func (c *Client) Wait(ctx context.Context, id string, every time.Duration) (Batch, error) {
+// Wait polls a job at the given interval until it has ended. Transient errors are retried.
+func (c *Client) Wait(ctx context.Context, id string, interval time.Duration) (Batch, error) {
 	for {
 		b, err := c.Batch(ctx, id)
 		if err == nil && b.Ended() {
 			return b, nil
 		}
-		if err != nil && !temporary(err) {
+		if err != nil && !isTransient(err) {
 			return b, err
 		}
-		if err := wait.For(ctx, every); err != nil {
+		if err := wait.For(ctx, interval); err != nil {
 			return b, err
 		}
 	}
 }
 
-// temporary reports whether a read may be tried again.
-func temporary(err error) bool {
+// isTransient reports whether a failed read may be retried.
+func isTransient(err error) bool {
 	switch apierr.From(err).Code {
 	case apierr.CodeNotOwner, apierr.CodeLogDown, apierr.CodeNotRun, apierr.CodeOutcomeUnknown, apierr.CodeRateLimited:
 		return true
