--- a/httpx/httpx.go
+++ b/httpx/httpx.go
@@ -1,4 +1,4 @@
-// Package httpx sets up hertz servers and clients alike for all processes.
+// Package httpx creates hertz servers and clients with the same options in all processes.
 package httpx
 
 import (
@@ -19,12 +19,12 @@
 )
 
 func init() {
-	// hertz logs through a logger of its own. What matters of it reaches us as
-	// errors.
+	// hertz has its own logger. Its lines are discarded because the failures that matter are
+	// also returned as errors.
 	hlog.SetOutput(io.Discard)
 }
 
-// Bounds of all HTTP servers.
+// Limits and timeouts of HTTP servers and clients.
 const (
 	MaxHeaderBytes = 64 << 10
 	idleTimeout    = 2 * time.Minute
@@ -32,7 +32,7 @@
 	maxConns       = 4096
 )
 
-// NewServer returns a hertz server on ln that refuses bodies over maxBody bytes.
+// NewServer returns a hertz server on ln that rejects request bodies over maxBody bytes.
 func NewServer(ln net.Listener, maxBody int, opts ...config.Option) *server.Hertz {
 	all := []config.Option{
 		server.WithListener(ln),
@@ -47,15 +47,14 @@
 	return server.New(append(all, opts...)...)
 }
 
-// Serve runs h until ctx ends. Requests in progress are not waited for; callers
-// that must finish them do so before they end ctx.
+// Serve runs h until ctx ends. It does not wait for requests in flight; whoever must finish
+// them does so before ending ctx.
 func Serve(ctx context.Context, h *server.Hertz) error {
 	stop := context.AfterFunc(ctx, func() {
-		shut, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
-		// A shutdown that runs into its timeout leaves connections to end with
-		// the process.
-		_ = h.Shutdown(shut)
+		// Connections that are still open after the timeout close when the process exits.
+		_ = h.Shutdown(shutdownCtx)
 	})
 	defer stop()
 	err := h.Run()
@@ -75,7 +74,7 @@
 	)
 }
 
-// WriteJSON answers with a JSON body.
+// WriteJSON writes a response with a JSON body.
 func WriteJSON(c *app.RequestContext, status int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -85,22 +84,23 @@
 	c.Data(status, "application/json", data)
 }
 
-// Reply is a whole answer.
-type Reply struct {
+// Response is a response with its whole body.
+type Response struct {
 	Status int
 	ETag   string
 	Body   []byte
 }
 
-// Call makes a request and returns the status and the whole body.
+// Call makes a request and returns the status and the whole body of the response.
 func Call(ctx context.Context, cl *client.Client, method, url, contentType string, body []byte) (int, []byte, error) {
-	r, err := Ask(ctx, cl, method, url, contentType, body, "")
+	r, err := Do(ctx, cl, method, url, contentType, body, "")
 	return r.Status, r.Body, err
 }
 
-// Ask makes a request, conditional on another version than etag unless that is
-// empty, and returns the whole answer.
-func Ask(ctx context.Context, cl *client.Client, method, url, contentType string, body []byte, etag string) (Reply, error) {
+// Do makes a request and returns the whole response. If etag is not empty, the request is
+// conditional: the status is 304 while the version is still etag. The deadline of ctx bounds
+// the request.
+func Do(ctx context.Context, cl *client.Client, method, url, contentType string, body []byte, etag string) (Response, error) {
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
 	defer protocol.ReleaseResponse(resp)
@@ -119,11 +119,11 @@
 		req.SetOptions(config.WithRequestTimeout(time.Until(dl)))
 	}
 	if err := cl.Do(ctx, req, resp); err != nil {
-		return Reply{}, err
+		return Response{}, err
 	}
 	data, err := resp.BodyE()
 	if err != nil {
-		return Reply{}, err
+		return Response{}, err
 	}
-	return Reply{Status: resp.StatusCode(), ETag: resp.Header.Get("ETag"), Body: bytes.Clone(data)}, nil
+	return Response{Status: resp.StatusCode(), ETag: resp.Header.Get("ETag"), Body: bytes.Clone(data)}, nil
 }
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -1,6 +1,6 @@
-// Package infra declares the services that the platform gives: the
-// append-only log, the lagging host list and the rate-limited weight store.
-// Implementations live elsewhere, so that a test bench can stand in for each.
+// Package infra declares the services of the platform: the append-only log, the
+// eventually consistent host list and the rate-limited weight store. Implementations
+// are in other packages, so that tests and benchmarks can replace each service.
 package infra
 
 import (
@@ -14,34 +14,34 @@
 // Record is one record of a log stream.
 type Record struct {
 	Offset uint64    // position in its stream, from 0, without gaps
-	Time   time.Time // when the log took it
+	Time   time.Time // when the log accepted it
 	Data   []byte
 }
 
-// Page is the answer to a read.
+// Page is the result of a read.
 type Page struct {
 	Records  []Record
-	Earliest uint64 // lowest offset still kept
-	Tail     uint64 // offset that the next record will get
+	Earliest uint64 // lowest retained offset
+	Tail     uint64 // offset of the next record to be appended
 }
 
 // Log is the platform's append-only log service.
 type Log interface {
-	// Append adds data to a stream and returns its offset. After any error
-	// other than ErrTooLarge and ThrottledError the record may still have been
-	// taken, or may be taken later.
+	// Append appends data to a stream and returns its offset. After any error other
+	// than ErrTooLarge and ThrottledError the record may have been appended, or may
+	// still be appended later.
 	Append(ctx context.Context, stream string, data []byte) (uint64, error)
-	// Read returns records from offset on, up to maxBytes but at least one. With
-	// wait above zero it blocks that long for a first record. It returns a
-	// TrimmedError when from is below the earliest kept offset.
+	// Read returns records starting at offset from, up to maxBytes but at least one if
+	// there is any. If wait is positive, it blocks up to that long for a first record.
+	// It returns a TrimmedError if from is below the earliest retained offset.
 	Read(ctx context.Context, stream string, from uint64, maxBytes int, wait time.Duration) (Page, error)
 }
 
-// Host is one entry of the host list.
+// Host is one element of the host list.
 type Host struct {
 	Name       string `json:"name"`
 	Role       string `json:"role"` // RoleEntry or RoleAgent
-	Addr       string `json:"addr"` // IP and port of our process there
+	Addr       string `json:"addr"` // IP and port of the pumiceford process on it
 	DataCentre string `json:"data_centre"`
 	Leaving    bool   `json:"leaving"`
 }
@@ -52,26 +52,28 @@
 	RoleAgent = "agent"
 )
 
-// HostList is the platform's lagging list of live and leaving hosts.
+// HostList is the platform's list of live and leaving hosts. It lags behind the fleet.
 type HostList interface {
 	Hosts(ctx context.Context) ([]Host, error)
 }
 
 // WeightStore is the platform's rate-limited store of model weights.
 type WeightStore interface {
-	// Fetch blocks until the weights of a model version were read, and returns
+	// Fetch blocks until the weights of a model version have been read and returns
 	// their size in bytes.
 	Fetch(ctx context.Context, model, version string) (int64, error)
 }
 
-// ErrUnavailable says that the platform's service did not answer. The effect of
-// the call is unknown.
+// ErrUnavailable is returned when a platform service does not answer. Whether the call took
+// effect is unknown.
 var ErrUnavailable = errors.New("platform service unavailable")
 
-// ErrTooLarge says that a record is over the log's limit. It was not taken.
+// ErrTooLarge is returned when a record exceeds the log's size limit. The record was not
+// appended.
 var ErrTooLarge = errors.New("record over the log's limit")
 
-// ThrottledError says that the log refused an append over its rate. It was not taken.
+// ThrottledError is returned when the log rejects an append over its rate limit. The record
+// was not appended.
 type ThrottledError struct {
 	RetryAfter time.Duration
 }
@@ -81,7 +83,7 @@
 	return fmt.Sprintf("log throttled, retry after %s", e.RetryAfter)
 }
 
-// TrimmedError says that an offset is no longer kept.
+// TrimmedError is returned when an offset is no longer retained.
 type TrimmedError struct {
 	Earliest uint64
 	Tail     uint64
--- a/infra/infrahttp/client.go
+++ b/infra/infrahttp/client.go
@@ -1,4 +1,4 @@
-// Package infrahttp reaches the platform's services over HTTP.
+// Package infrahttp is the HTTP client of the platform's services.
 package infrahttp
 
 import (
@@ -24,7 +24,7 @@
 	http *client.Client
 
 	mu    sync.Mutex
-	etag  string // version of hosts
+	etag  string // version of the cached hosts
 	hosts []infra.Host
 }
 
@@ -32,31 +32,31 @@
 func New(base string) (*Client, error) {
 	cl, err := httpx.NewClient()
 	if err != nil {
-		return nil, errors.Wrap(err, "http client")
+		return nil, errors.Wrap(err, "create HTTP client")
 	}
 	return &Client{base: base, http: cl}, nil
 }
 
-// AppendReply is the log's answer to an append.
+// AppendReply is the log's response to an append.
 type AppendReply struct {
 	Offset uint64 `json:"offset"`
 }
 
-// WireRecord is a record in a read's answer.
+// WireRecord is a record in the response to a read.
 type WireRecord struct {
 	Offset uint64 `json:"offset"`
 	TimeMs int64  `json:"time_ms"`
 	Data   []byte `json:"data"`
 }
 
-// ReadReply is the log's answer to a read.
+// ReadReply is the log's response to a read.
 type ReadReply struct {
 	Records  []WireRecord `json:"records"`
 	Earliest uint64       `json:"earliest"`
 	Tail     uint64       `json:"tail"`
 }
 
-// ErrorReply is a refusal of the log.
+// ErrorReply is an error response of the platform's services.
 type ErrorReply struct {
 	Code         string `json:"code"`
 	RetryAfterMs int64  `json:"retry_after_ms,omitempty"`
@@ -93,14 +93,13 @@
 	return page, nil
 }
 
-// Hosts implements infra.HostList. The list of a large fleet is some 80 KB and
-// changes a few hundred times a day, so it is only fetched when its version is
-// another one.
+// Hosts implements infra.HostList. The list of a large fleet is about 80 KB and changes a
+// few hundred times a day, so a conditional request fetches it only if its version changed.
 func (c *Client) Hosts(ctx context.Context) ([]infra.Host, error) {
 	c.mu.Lock()
 	etag := c.etag
 	c.mu.Unlock()
-	r, err := httpx.Ask(ctx, c.http, http.MethodGet, c.base+"/hosts", "", nil, etag)
+	r, err := httpx.Do(ctx, c.http, http.MethodGet, c.base+"/hosts", "", nil, etag)
 	if err != nil {
 		return nil, errors.Mark(err, infra.ErrUnavailable)
 	}
@@ -110,7 +109,7 @@
 		return slices.Clone(c.hosts), nil
 	}
 	if r.Status != http.StatusOK {
-		return nil, refusal(r.Body)
+		return nil, responseError(r.Body)
 	}
 	var hosts []infra.Host
 	if err := json.Unmarshal(r.Body, &hosts); err != nil {
@@ -120,7 +119,7 @@
 	return slices.Clone(hosts), nil
 }
 
-// FetchReply is the weight store's answer.
+// FetchReply is the weight store's response to a fetch.
 type FetchReply struct {
 	Bytes int64 `json:"bytes"`
 }
@@ -133,22 +132,22 @@
 	return reply.Bytes, err
 }
 
-func (c *Client) call(ctx context.Context, method, path string, body []byte, into any) error {
+func (c *Client) call(ctx context.Context, method, path string, body []byte, out any) error {
 	status, data, err := httpx.Call(ctx, c.http, method, c.base+path, "application/octet-stream", body)
 	if err != nil {
-		// Whether the call took effect is not known.
+		// It is unknown whether the call took effect.
 		return errors.Mark(err, infra.ErrUnavailable)
 	}
 	if status == http.StatusOK {
-		if err := json.Unmarshal(data, into); err != nil {
+		if err := json.Unmarshal(data, out); err != nil {
 			return errors.Mark(err, infra.ErrUnavailable)
 		}
 		return nil
 	}
-	return refusal(data)
+	return responseError(data)
 }
 
-func refusal(data []byte) error {
+func responseError(data []byte) error {
 	var e ErrorReply
 	if err := json.Unmarshal(data, &e); err != nil {
 		return infra.ErrUnavailable
