--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics holds the histograms and counters that every process exposes.
+// Package metrics holds the histograms, counters and gauges that every process exposes.
 package metrics
 
 import (
@@ -8,29 +8,29 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// MaxWorkspaces bounds the workspaces that get a series of their own. All
-// others share the series OtherWorkspaces, so that memory and scrape size do not
-// follow the 32,000 workspaces of the fleet.
+// MaxWorkspaces bounds the workspaces with their own series. All others share the series
+// OtherWorkspaces, so that memory and scrape size do not grow with the 32,000 workspaces of
+// the fleet.
 const MaxWorkspaces = 100
 
-// OtherWorkspaces is the label of workspaces beyond MaxWorkspaces.
+// OtherWorkspaces is the label value of workspaces beyond MaxWorkspaces.
 const OtherWorkspaces = "_other"
 
-// Set is the metrics of one process.
+// Set holds the metrics of one process. It is safe for concurrent use.
 type Set struct {
 	Registry  *prometheus.Registry
 	durations *prometheus.HistogramVec
 	events    *prometheus.CounterVec
 	gauges    *prometheus.GaugeVec
 
-	mu    sync.Mutex
-	known map[string]struct{}
+	mu       sync.Mutex
+	labelled map[string]struct{}
 }
 
-// New returns a Set whose series carry the node's name.
+// New returns a Set whose series are labelled with the node's name.
 func New(node string) *Set {
 	labels := prometheus.Labels{"node": node}
-	s := &Set{Registry: prometheus.NewRegistry(), known: make(map[string]struct{})}
+	s := &Set{Registry: prometheus.NewRegistry(), labelled: make(map[string]struct{})}
 	s.durations = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name:        "pumice_duration_seconds",
 		Help:        "Durations by class and workspace.",
@@ -51,30 +51,32 @@
 	return s
 }
 
-// Observe adds a duration to the histogram of a class and workspace.
+// Observe records a duration in the histogram of a class and workspace.
 func (s *Set) Observe(class, workspace string, d time.Duration) {
-	s.durations.WithLabelValues(class, s.label(workspace)).Observe(d.Seconds())
+	s.durations.WithLabelValues(class, s.workspaceLabel(workspace)).Observe(d.Seconds())
 }
 
-// Count adds one event.
+// Count adds one to the counter of a kind of event.
 func (s *Set) Count(kind string) {
 	s.events.WithLabelValues(kind).Inc()
 }
 
-// Gauge sets a size.
+// Gauge sets the gauge of a kind of state.
 func (s *Set) Gauge(kind string, value float64) {
 	s.gauges.WithLabelValues(kind).Set(value)
 }
 
-func (s *Set) label(workspace string) string {
+// workspaceLabel returns the workspace itself for the first MaxWorkspaces workspaces seen and
+// OtherWorkspaces for all later ones.
+func (s *Set) workspaceLabel(workspace string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.known[workspace]; ok {
+	if _, ok := s.labelled[workspace]; ok {
 		return workspace
 	}
-	if len(s.known) >= MaxWorkspaces {
+	if len(s.labelled) >= MaxWorkspaces {
 		return OtherWorkspaces
 	}
-	s.known[workspace] = struct{}{}
+	s.labelled[workspace] = struct{}{}
 	return workspace
 }
