--- a/access/access.go
+++ b/access/access.go
@@ -57,12 +57,12 @@
 type Source interface {
 	// Confirmed returns the time, by Config.Clock, at which the configuration was last known to
 	// be the newest. It reports false if it was never confirmed.
-	Confirmed() (time.Duration, bool)
+	ConfirmedAt() (time.Duration, bool)
 	// Confirm ensures that the last confirmation is at most maxAge ago.
 	Confirm(ctx context.Context, maxAge time.Duration) error
 }
 
-// Config holds what NewGate needs.
+// Config holds what NewAuthenticator needs.
 type Config struct {
 	Catalog func() *catalog.Catalog // in force; nil until one is known
 	Source  Source
@@ -72,8 +72,8 @@
 	Clock func() time.Duration
 }
 
-// Gate authenticates callers by their keys. It is safe for concurrent use.
-type Gate struct {
+// Authenticator authenticates callers by their keys. It is safe for concurrent use.
+type Authenticator struct {
 	cfg     Config
 	lease   time.Duration
 	unknown *unknownKeys
@@ -83,9 +83,9 @@
 	lastRefreshFailed bool          // whether the last read failed
 }
 
-// NewGate returns an instance for cfg.
-func NewGate(cfg Config) *Gate {
-	return &Gate{cfg: cfg, lease: time.Duration(leaseFraction * float64(cfg.KeyLease)), unknown: newUnknownKeys()}
+// NewAuthenticator returns an instance for cfg.
+func NewAuthenticator(cfg Config) *Authenticator {
+	return &Authenticator{cfg: cfg, lease: time.Duration(leaseFraction * float64(cfg.KeyLease)), unknown: newUnknownKeys()}
 }
 
 // Identity identifies the sender of a request.
@@ -95,7 +95,7 @@
 	// Version is the version of the catalog that Workspace was read from.
 	Version int64
 	// Keyed says that the catalog requires keys. The key itself is not passed on.
-	Keyed bool
+	KeyRequired bool
 }
 
 // Name returns the name of the workspace, or "" if there is none.
@@ -106,26 +106,26 @@
 	return i.Workspace.Name
 }
 
-// Identify returns the sender of a request with the given credentials. A request with
+// Authenticate returns the sender of a request with the given credentials. A request with
 // keyOptional is accepted without a valid key. The error is ErrNotReady, ErrUnknownKey or a
 // *StaleError.
-func (a *Gate) Identify(ctx context.Context, credentials []string, keyOptional bool) (Identity, error) {
+func (a *Authenticator) Authenticate(ctx context.Context, credentials []string, keyOptional bool) (Identity, error) {
 	cat := a.cfg.Catalog()
 	if cat == nil {
 		return Identity{}, ErrNotReady
 	}
-	if !cat.Keyed() {
+	if !cat.RequiresKey() {
 		return Identity{}, nil
 	}
 	id, err := a.identifyKey(ctx, credentials)
 	if err != nil && keyOptional {
-		return Identity{Keyed: true}, nil
+		return Identity{KeyRequired: true}, nil
 	}
 	return id, err
 }
 
 // identifyKey returns the workspace that the credentials belong to.
-func (a *Gate) identifyKey(ctx context.Context, credentials []string) (Identity, error) {
+func (a *Authenticator) identifyKey(ctx context.Context, credentials []string) (Identity, error) {
 	key, ok := parseBearer(credentials)
 	if !ok {
 		return Identity{}, ErrUnknownKey
@@ -136,16 +136,16 @@
 	}
 	// The catalog is read after the confirmation, since an earlier one may be out of date.
 	cat := a.cfg.Catalog()
-	if ws := cat.KeyHolder(digest); ws != nil {
-		return Identity{Workspace: ws, Version: cat.Version, Keyed: true}, nil
+	if ws := cat.WorkspaceByKey(digest); ws != nil {
+		return Identity{Workspace: ws, Version: cat.Version, KeyRequired: true}, nil
 	}
 	a.unknown.add(digest, a.cfg.Clock())
 	return Identity{}, ErrUnknownKey
 }
 
 // confirm ensures that the catalog is recent enough to decide on the key.
-func (a *Gate) confirm(ctx context.Context, key catalog.KeyDigest) error {
-	if a.cfg.Catalog().KeyHolder(key) == nil {
+func (a *Authenticator) confirm(ctx context.Context, key catalog.KeyDigest) error {
+	if a.cfg.Catalog().WorkspaceByKey(key) == nil {
 		if a.unknown.contains(key, a.cfg.Clock()) {
 			return nil
 		}
@@ -159,7 +159,7 @@
 }
 
 // refresh confirms the configuration unless it was confirmed within maxAge.
-func (a *Gate) refresh(ctx context.Context, maxAge time.Duration) error {
+func (a *Authenticator) refresh(ctx context.Context, maxAge time.Duration) error {
 	if a.backingOff() {
 		return &StaleError{Age: a.age()}
 	}
@@ -174,13 +174,13 @@
 }
 
 // backingOff reports whether the last read failed within failureBackoff.
-func (a *Gate) backingOff() bool {
+func (a *Authenticator) backingOff() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.lastRefreshFailed && a.cfg.Clock()-a.lastRefresh < failureBackoff
 }
 
-func (a *Gate) recordRefresh(ok bool) {
+func (a *Authenticator) recordRefresh(ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.lastRefreshFailed = !ok
@@ -191,8 +191,8 @@
 const neverConfirmed = time.Duration(1<<63 - 1)
 
 // age returns the time since the last confirmation, or neverConfirmed.
-func (a *Gate) age() time.Duration {
-	at, ok := a.cfg.Source.Confirmed()
+func (a *Authenticator) age() time.Duration {
+	at, ok := a.cfg.Source.ConfirmedAt()
 	if !ok {
 		return neverConfirmed
 	}
@@ -201,9 +201,9 @@
 
 // Renew confirms the configuration well before the lease expires, if keys are in use. It is
 // called several times within each lease.
-func (a *Gate) Renew(ctx context.Context) error {
+func (a *Authenticator) Renew(ctx context.Context) error {
 	cat := a.cfg.Catalog()
-	if a.lease <= 0 || cat == nil || !cat.Keyed() {
+	if a.lease <= 0 || cat == nil || !cat.RequiresKey() {
 		return nil
 	}
 	return a.cfg.Source.Confirm(ctx, a.lease/renewDivisor)
@@ -213,8 +213,8 @@
 // covers a store that does not answer until a route through a peer is found.
 const renewDivisor = 3
 
-// Age returns the time since the last confirmation. It reports false if there was none.
-func (a *Gate) Age() (time.Duration, bool) {
+// ConfigAge returns the time since the last confirmation. It reports false if there was none.
+func (a *Authenticator) ConfigAge() (time.Duration, bool) {
 	age := a.age()
 	return age, age != neverConfirmed
 }
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -25,7 +25,7 @@
 	store     *sharedstore.Store
 	current   catalog.Current
 	follower  *store.Follower
-	auth      *Gate
+	auth      *Authenticator
 	start     time.Time
 	suspended atomic.Int64 // in nanoseconds
 }
@@ -40,7 +40,7 @@
 // Apply implements store.Sink.
 func (h *testHost) Apply(recs ...store.Record) {
 	for _, r := range recs {
-		h.current.Offer(decode(r.Offset+1, string(r.Value)))
+		h.current.SetIfNewer(decode(r.Offset+1, string(r.Value)))
 	}
 }
 
@@ -64,9 +64,9 @@
 
 func newTestHost(ctx context.Context, s *sharedstore.Store) *testHost {
 	h := &testHost{store: s, start: time.Now()}
-	failover := store.NewFailover(s.For(hostName), func() []store.Peer { return nil })
-	h.follower = store.NewFollower(failover, configPartition, h, store.FollowSettings{Wait: 2 * time.Second, Clock: h.clock})
-	h.auth = NewGate(Config{Catalog: h.current.Get, Source: h.follower, KeyLease: keyLease, Clock: h.clock})
+	failover := store.NewFailover(s.ClientFor(hostName), func() []store.Peer { return nil })
+	h.follower = store.NewFollower(failover, configPartition, h, store.FollowerConfig{Wait: 2 * time.Second, Clock: h.clock})
+	h.auth = NewAuthenticator(Config{Catalog: h.current.Get, Source: h.follower, KeyLease: keyLease, Clock: h.clock})
 	go h.follower.Run(ctx)
 	go func() {
 		for ctx.Err() == nil {
@@ -82,7 +82,7 @@
 }
 
 func (h *testHost) identify(ctx context.Context, key string) error {
-	_, err := h.auth.Identify(ctx, []string{"Bearer " + key}, false)
+	_, err := h.auth.Authenticate(ctx, []string{"Bearer " + key}, false)
 	return err
 }
 
@@ -105,8 +105,8 @@
 	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
 		h := &testHost{store: sharedstore.New(1), start: time.Now()}
 		h.put("a")
-		h.follower = store.NewFollower(h.store.For("h"), configPartition, h, store.FollowSettings{Clock: h.clock})
-		h.auth = NewGate(Config{Catalog: h.current.Get, Source: h.follower, KeyLease: keyLease, Clock: h.clock})
+		h.follower = store.NewFollower(h.store.ClientFor("h"), configPartition, h, store.FollowerConfig{Clock: h.clock})
+		h.auth = NewAuthenticator(Config{Catalog: h.current.Get, Source: h.follower, KeyLease: keyLease, Clock: h.clock})
 		if err := h.identify(ctx, "a"); !errors.Is(err, ErrNotReady) {
 			t.Fatalf("without a configuration: %v", err)
 		}
@@ -135,13 +135,13 @@
 	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
 		h := &testHost{store: sharedstore.New(1), start: time.Now()}
 		h.put("a")
-		h.follower = store.NewFollower(h.store.For(hostName), configPartition, h, store.FollowSettings{Clock: h.clock})
-		h.auth = NewGate(Config{Catalog: h.current.Get, Source: h.follower, KeyLease: keyLease, Clock: h.clock})
+		h.follower = store.NewFollower(h.store.ClientFor(hostName), configPartition, h, store.FollowerConfig{Clock: h.clock})
+		h.auth = NewAuthenticator(Config{Catalog: h.current.Get, Source: h.follower, KeyLease: keyLease, Clock: h.clock})
 		if err := h.follower.Confirm(ctx, 0); err != nil {
 			t.Fatal(err)
 		}
 		before := h.current.Get()
-		id, err := h.auth.Identify(ctx, []string{"Bearer a"}, false)
+		id, err := h.auth.Authenticate(ctx, []string{"Bearer a"}, false)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -163,7 +163,7 @@
 		h := newTestHost(ctx, s)
 		h.put("a")
 		synctest.Wait()
-		before := s.Calls()
+		before := s.CallCount()
 		const seconds, perSecond = 5, 400
 		var all sync.WaitGroup
 		for n := range seconds * perSecond {
@@ -176,14 +176,14 @@
 		}
 		all.Wait()
 		maxCalls := int(seconds*time.Second/minRefreshInterval) + seconds*5 // plus the calls of the follower and of Renew
-		if got := s.Calls() - before; got > maxCalls {
+		if got := s.CallCount() - before; got > maxCalls {
 			t.Errorf("got %d calls to the store for %d unknown keys", got, seconds*perSecond)
 		}
-		before = s.Calls()
+		before = s.CallCount()
 		for range perSecond {
 			_ = h.identify(ctx, "same") // only the calls to the store are checked
 		}
-		if got := s.Calls() - before; got > 1 {
+		if got := s.CallCount() - before; got > 1 {
 			t.Errorf("got %d calls to the store for one unknown key", got)
 		}
 	})
@@ -197,7 +197,7 @@
 		h := newTestHost(ctx, s)
 		h.put("a")
 		synctest.Wait()
-		s.SetFault(hostName, sharedstore.Silent)
+		s.SetFault(hostName, sharedstore.NoResponse)
 		time.Sleep(keyLease)
 		const requests = 100
 		started := time.Now()
@@ -210,7 +210,7 @@
 		if took := time.Since(started); took > 2*refreshTimeout {
 			t.Errorf("%d refusals took %s", requests, took)
 		}
-		if _, err := h.auth.Identify(ctx, nil, true); err != nil {
+		if _, err := h.auth.Authenticate(ctx, nil, true); err != nil {
 			t.Errorf("public route: %v", err)
 		}
 	})
@@ -224,7 +224,7 @@
 		h := newTestHost(ctx, s)
 		h.put("a")
 		synctest.Wait()
-		s.SetFault(hostName, sharedstore.Silent)
+		s.SetFault(hostName, sharedstore.NoResponse)
 		h.suspended.Add(int64(keyLease))
 		var stale *StaleError
 		if err := h.identify(ctx, "a"); !errors.As(err, &stale) {
@@ -299,16 +299,16 @@
 			}
 			keys = st.Keys
 		case 2:
-			s.SetFault(hostName, sharedstore.Silent)
+			s.SetFault(hostName, sharedstore.NoResponse)
 			healthySince = -1
 		case 3:
 			s.SetFault(hostName, sharedstore.Refuse)
 			healthySince = -1
 		case 4:
-			s.SetFault(hostName, sharedstore.None)
+			s.SetFault(hostName, sharedstore.NoFault)
 			healthySince = h.clock()
 		case 5:
-			s.Forget(configPartition)
+			s.DropHistory(configPartition)
 		case 6:
 			h.suspended.Add(int64(st.Ms) * int64(time.Millisecond))
 		default:
@@ -348,16 +348,16 @@
 	for n := range keys {
 		all = append(all, catalog.Workspace{Name: fmt.Sprint("w", n), Keys: []catalog.KeyDigest{catalog.DigestKey(fmt.Sprint("key-", n))}})
 	}
-	h.current.Offer(catalog.New(1, catalog.Limits{}, nil, nil).WithWorkspaces(all))
-	h.follower = store.NewFollower(h.store.For("h"), configPartition, h, store.FollowSettings{Clock: h.clock})
+	h.current.SetIfNewer(catalog.New(1, catalog.Limits{}, nil, nil).WithWorkspaces(all))
+	h.follower = store.NewFollower(h.store.ClientFor("h"), configPartition, h, store.FollowerConfig{Clock: h.clock})
 	if err := h.follower.Confirm(b.Context(), 0); err != nil {
 		b.Fatal(err)
 	}
-	h.auth = NewGate(Config{Catalog: h.current.Get, Source: h.follower, KeyLease: time.Hour, Clock: h.clock})
+	h.auth = NewAuthenticator(Config{Catalog: h.current.Get, Source: h.follower, KeyLease: time.Hour, Clock: h.clock})
 	credentials := []string{"Bearer key-77"}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := h.auth.Identify(b.Context(), credentials, false); err != nil {
+		if _, err := h.auth.Authenticate(b.Context(), credentials, false); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -31,7 +31,7 @@
 	Weight    float64   // fair-queueing weight of the workspace; 1 if not positive
 	Cost      float64   // expected tokens, prompt included
 	Blocks    int       // KV cache blocks reserved while it runs
-	Alone     bool      // batch only: no other batch item may run beside it
+	Exclusive bool      // batch only: no other batch item may run beside it
 	Deadline  time.Time // online only: rejected if not started by then; zero for none
 	// Ref identifies the entry to the caller. Admission does not read it.
 	Ref any
@@ -277,7 +277,7 @@
 	limit := a.startLimit(now)
 	for a.batch.len() > 0 && a.batchRunning < limit && a.exclusive == nil && a.online.len() == 0 {
 		e := a.batch.peek()
-		if !a.fits(e) || (e.Alone && a.batchRunning > 0) {
+		if !a.fits(e) || (e.Exclusive && a.batchRunning > 0) {
 			return actions
 		}
 		a.batch.pop()
@@ -296,7 +296,7 @@
 		return
 	}
 	a.batchRunning++
-	if e.Alone {
+	if e.Exclusive {
 		a.exclusive = e
 	}
 }
@@ -318,8 +318,8 @@
 	return true
 }
 
-// Finish removes an entry, whether it runs or is queued.
-func (a *Admission) Finish(now time.Time, e *Entry) {
+// Remove removes an entry, whether it runs or is queued.
+func (a *Admission) Remove(now time.Time, e *Entry) {
 	if a.removeRunning(e) {
 		if e.Class == Online {
 			a.observeServiceTime(now.Sub(e.started).Seconds())
@@ -341,14 +341,14 @@
 	a.serviceTime += smoothingFactor * (seconds - a.serviceTime)
 }
 
-// Progress records how many tokens an entry has generated.
-func (a *Admission) Progress(e *Entry, tokens uint32) {
+// SetProgress records how many tokens an entry has generated.
+func (a *Admission) SetProgress(e *Entry, tokens uint32) {
 	e.progress = tokens
 }
 
-// NoteStep adds one measured engine step to the step time model: took is the time
+// ObserveStep adds one measured engine step to the step time model: took is the time
 // between two tokens of a sequence, and running is how many sequences ran.
-func (a *Admission) NoteStep(running int, took time.Duration) {
+func (a *Admission) ObserveStep(running int, took time.Duration) {
 	a.stepTime.add(float64(running), took.Seconds())
 }
 
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -91,7 +91,7 @@
 }
 
 // Agent queues, admits and runs the work of one target. Lock order: Agent.mu, then
-// the locks of online.Answer and of the config follower. The holder of Agent.mu never
+// the locks of online.Response and of the config follower. The holder of Agent.mu never
 // calls the engine or the network and never waits for a channel.
 type Agent struct {
 	cfg Config
@@ -316,10 +316,10 @@
 	}
 }
 
-// Leave refuses new work, hands queued batch items back and waits until all running
+// Shutdown refuses new work, hands queued batch items back and waits until all running
 // work has finished and its results are durable, or ctx ends. It returns the number
 // of requests and batch items that were still unfinished at the end of ctx.
-func (a *Agent) Leave(ctx context.Context) int {
+func (a *Agent) Shutdown(ctx context.Context) int {
 	a.mu.Lock()
 	a.stopping = true
 	a.mu.Unlock()
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -53,7 +53,7 @@
 			t.Fatalf("start after revoke: got %v, want CodeNotRun", err)
 		}
 		time.Sleep(time.Second)
-		if n := e.Runs(hexID(s.GetId())); n != 0 {
+		if n := e.RunCount(hexID(s.GetId())); n != 0 {
 			t.Fatalf("the request ran %d times, want 0", n)
 		}
 	})
@@ -97,7 +97,7 @@
 		if ran := a.revoke(&wire.Revoke{Id: s.GetId(), AgentIncarnation: s.GetAgentIncarnation()}); ran != wire.Ran_RAN_YES {
 			t.Fatalf("revoke after the run returned %v, want RAN_YES", ran)
 		}
-		if n := e.Runs(hexID(s.GetId())); n != 1 {
+		if n := e.RunCount(hexID(s.GetId())); n != 1 {
 			t.Fatalf("the request ran %d times, want 1", n)
 		}
 	})
--- a/agent/configpeer.go
+++ b/agent/configpeer.go
@@ -91,9 +91,9 @@
 	return got
 }
 
-// SetConfig sets the config follower whose offset the agent reports and whose records
+// SetFollower sets the config follower whose offset the agent reports and whose records
 // it serves to peers.
-func (a *Agent) SetConfig(f *config.Follower) {
+func (a *Agent) SetFollower(f *config.Follower) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.follower = f
--- a/agent/item.go
+++ b/agent/item.go
@@ -81,7 +81,7 @@
 		Weight:    g.GetWeight(),
 		Cost:      cost,
 		Blocks:    blocks,
-		Alone:     g.GetAlone(),
+		Exclusive: g.GetAlone(),
 		Ref:       it,
 	}
 	a.items[id] = it
@@ -104,7 +104,7 @@
 		return
 	}
 	it.offered = false
-	a.adm.Finish(time.Now(), it.entry)
+	a.adm.Remove(time.Now(), it.entry)
 }
 
 // applyItemAction applies an action to a batch item. Agent.mu must be held.
@@ -174,7 +174,7 @@
 		return readmitted
 	}
 	it.offered = false
-	a.adm.Finish(time.Now(), it.entry)
+	a.adm.Remove(time.Now(), it.entry)
 	if it.cancelled {
 		a.deleteItem(it)
 		return false
@@ -207,7 +207,7 @@
 		it.text.WriteString(c.Text)
 		it.tokens += c.Tokens
 		last = a.recordChunk(it.entry, last, it.tokens)
-		if c.Finish != "" {
+		if c.FinishReason != "" {
 			return &wire.ItemResult{
 				Ok:               true,
 				Text:             []byte(it.text.String()),
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -14,10 +14,10 @@
 	"pumiceford/routing"
 )
 
-// Follow applies the configuration until ctx ends: drains, the deployment's harm (how
+// FollowConfig applies the configuration until ctx ends: drains, the deployment's harm (how
 // much longer batch may make an online step) and the models to serve.
-func (a *Agent) Follow(ctx context.Context, f *config.Follower, deployment string, hosts infra.HostList, weights infra.WeightStore) {
-	r := &orderReconciler{agent: a, follower: f, hosts: hosts, weights: weights, applied: make(map[string]uint64), log: a.cfg.Log.Part("orders")}
+func (a *Agent) FollowConfig(ctx context.Context, f *config.Follower, deployment string, hosts infra.HostList, weights infra.WeightStore) {
+	r := &orderReconciler{agent: a, follower: f, hosts: hosts, weights: weights, applied: make(map[string]uint64), log: a.cfg.Log.WithPrefix("orders")}
 	for ctx.Err() == nil {
 		changed := f.Changed()
 		a.applyPolicy(f, deployment)
--- a/agent/request.go
+++ b/agent/request.go
@@ -21,8 +21,8 @@
 type request struct {
 	start       *wire.Start
 	entry       *admission.Entry
-	lifecycle   *online.Life
-	answer      *online.Answer
+	lifecycle   *online.Lifecycle
+	answer      *online.Response
 	deadline    time.Time
 	running     bool
 	stop        context.CancelFunc // set while running
@@ -45,7 +45,7 @@
 }
 
 func deadlineFailure() *wire.Failure {
-	return apierr.New(apierr.CodeDeadline, "no seat before the deadline").ToWire()
+	return apierr.New(apierr.CodeDeadlineExceeded, "no seat before the deadline").ToWire()
 }
 
 func (a *Agent) handleStart(ctx context.Context, s *wire.Start, st *link.Stream) {
@@ -85,7 +85,7 @@
 	r := a.newRequest(s)
 	if !a.adm.Offer(time.Now(), r.entry) {
 		a.addTombstoneLocked(id, wire.Ran_RAN_NO)
-		return nil, apierr.New(apierr.CodeOverloaded, "no seat before the deadline").After(a.adm.RetryAfter())
+		return nil, apierr.New(apierr.CodeOverloaded, "no seat before the deadline").WithRetryAfter(a.adm.RetryAfter())
 	}
 	a.requests[id] = r
 	r.readers++
@@ -109,7 +109,7 @@
 			return nil
 		}
 	}
-	return apierr.New(apierr.CodeUnknownModel, "model is not loaded here")
+	return apierr.New(apierr.CodeModelNotFound, "model is not loaded here")
 }
 
 func (a *Agent) newRequest(s *wire.Start) *request {
@@ -118,8 +118,8 @@
 	cost, blocks := estimateCost(s.GetPrompt(), s.GetMaxTokens())
 	return &request{
 		start:     s,
-		lifecycle: online.NewLife(),
-		answer:    online.NewAnswer(s.GetId()),
+		lifecycle: online.NewLifecycle(),
+		answer:    online.NewResponse(s.GetId()),
 		deadline:  deadline,
 		entry: &admission.Entry{
 			ID:        string(s.GetId()),
@@ -160,7 +160,7 @@
 	}
 	a.mu.Unlock()
 	if r == nil {
-		fail := apierr.Unknown(apierr.CodeUnknownRequest, "no such request here")
+		fail := apierr.MaybeExecuted(apierr.CodeUnknownRequest, "no such request here")
 		_ = st.Send(&wire.Frame{Id: at.GetId(), Kind: &wire.Frame_Failure{Failure: fail.ToWire()}})
 		return
 	}
@@ -179,7 +179,7 @@
 		_ = st.Recv(&wire.Frame{})
 	}()
 	for {
-		frames, closed, changed := r.answer.From(seq)
+		frames, closed, changed := r.answer.FramesFrom(seq)
 		if len(frames) > 0 && st.SendFrames(frames) != nil {
 			return
 		}
@@ -235,7 +235,7 @@
 	r.revoked = true
 	if r.lifecycle.State() == online.Queued {
 		r.lifecycle.Fire(online.TriggerRevoke)
-		a.adm.Finish(time.Now(), r.entry)
+		a.adm.Remove(time.Now(), r.entry)
 		r.answer.Fail(apierr.New(apierr.CodeNotRun, "revoked before it started").ToWire())
 		r.finishedAt = time.Now()
 		return wire.Ran_RAN_NO
@@ -290,7 +290,7 @@
 	r.finishedAt = time.Now()
 	r.running = false
 	r.stop = nil
-	a.adm.Finish(r.finishedAt, r.entry)
+	a.adm.Remove(r.finishedAt, r.entry)
 	a.mu.Unlock()
 	a.wake()
 }
@@ -299,7 +299,7 @@
 	svc := a.cfg.Services[r.start.GetService()]
 	status, contentType, reply, err := svc.Do(ctx, r.start.GetMethod(), r.start.GetPath(), r.start.GetBody())
 	if err != nil {
-		r.answer.Fail(apierr.Unknown(apierr.CodeOutcomeUnknown, "service call failed: %v", err).ToWire())
+		r.answer.Fail(apierr.MaybeExecuted(apierr.CodeOutcomeUnknown, "service call failed: %v", err).ToWire())
 		return
 	}
 	r.answer.End(string(reply), 0, &wire.End{Status: uint32(status), ContentType: contentType})
@@ -326,8 +326,8 @@
 			return
 		}
 		last = a.recordChunk(r.entry, last, r.answer.Tokens())
-		if c.Finish != "" {
-			r.answer.End(c.Text, c.Tokens, &wire.End{FinishReason: c.Finish, PromptTokens: c.PromptTokens})
+		if c.FinishReason != "" {
+			r.answer.End(c.Text, c.Tokens, &wire.End{FinishReason: c.FinishReason, PromptTokens: c.PromptTokens})
 			return
 		}
 		r.answer.Add(c.Text, c.Tokens)
@@ -340,9 +340,9 @@
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.adm.Progress(e, tokens)
+	a.adm.SetProgress(e, tokens)
 	if !last.IsZero() {
-		a.adm.NoteStep(a.adm.Running(), now.Sub(last))
+		a.adm.ObserveStep(a.adm.Running(), now.Sub(last))
 	}
 	return now
 }
@@ -357,17 +357,17 @@
 	case errors.Is(err, engine.ErrRejected):
 		return fail(apierr.CodeBadRequest, wire.Ran_RAN_NO)
 	case errors.Is(err, engine.ErrUnknownModel):
-		return fail(apierr.CodeUnknownModel, wire.Ran_RAN_NO)
+		return fail(apierr.CodeModelNotFound, wire.Ran_RAN_NO)
 	case errors.Is(err, engine.ErrUnavailable):
-		return fail(apierr.CodeEngine, wire.Ran_RAN_NO)
-	case errors.Is(err, engine.ErrBusy):
-		return fail(apierr.CodeEngine, ran)
+		return fail(apierr.CodeEngineFailed, wire.Ran_RAN_NO)
+	case errors.Is(err, engine.ErrTransient):
+		return fail(apierr.CodeEngineFailed, ran)
 	case errors.Is(err, engine.ErrLost):
-		return fail(apierr.CodeEngine, wire.Ran_RAN_YES)
+		return fail(apierr.CodeEngineFailed, wire.Ran_RAN_YES)
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return fail(apierr.CodeDeadline, ran)
+		return fail(apierr.CodeDeadlineExceeded, ran)
 	case ctx.Err() != nil:
 		return fail(apierr.CodeCancelled, ran)
 	}
-	return fail(apierr.CodeEngine, wire.Ran_RAN_UNKNOWN)
+	return fail(apierr.CodeEngineFailed, wire.Ran_RAN_UNKNOWN)
 }
--- a/apierr/apierr.go
+++ b/apierr/apierr.go
@@ -18,28 +18,28 @@
 
 // Error codes. They are part of the API and never change meaning.
 const (
-	CodeBadRequest       Code = "bad_request"
-	CodeTooLarge         Code = "too_large"
-	CodeUnauthorized     Code = "unauthorized"
-	CodeForbidden        Code = "forbidden"
-	CodeNotFound         Code = "not_found"
-	CodeUnknownModel     Code = "model_not_found"
-	CodeKeyConflict      Code = "idempotency_conflict"
-	CodePlanConflict     Code = "plan_conflict"
-	CodeRateLimited      Code = "rate_limited"
-	CodeOverloaded       Code = "overloaded"
-	CodeNotRun           Code = "not_run"
-	CodeOutcomeUnknown   Code = "outcome_unknown"
-	CodeDeadline         Code = "deadline_exceeded"
-	CodeLogDown          Code = "log_unavailable"
-	CodeNoTarget         Code = "no_target"
-	CodeLeaving          Code = "leaving"
-	CodeEngine           Code = "engine_failed"
-	CodeWrongIncarnation Code = "wrong_incarnation"
-	CodeUnknownRequest   Code = "unknown_request"
-	CodeNotOwner         Code = "not_owner"
-	CodeCancelled        Code = "cancelled"
-	CodeInternal         Code = "internal"
+	CodeBadRequest          Code = "bad_request"
+	CodeTooLarge            Code = "too_large"
+	CodeUnauthorized        Code = "unauthorized"
+	CodeForbidden           Code = "forbidden"
+	CodeNotFound            Code = "not_found"
+	CodeModelNotFound       Code = "model_not_found"
+	CodeIdempotencyConflict Code = "idempotency_conflict"
+	CodePlanConflict        Code = "plan_conflict"
+	CodeRateLimited         Code = "rate_limited"
+	CodeOverloaded          Code = "overloaded"
+	CodeNotRun              Code = "not_run"
+	CodeOutcomeUnknown      Code = "outcome_unknown"
+	CodeDeadlineExceeded    Code = "deadline_exceeded"
+	CodeLogUnavailable      Code = "log_unavailable"
+	CodeNoTarget            Code = "no_target"
+	CodeLeaving             Code = "leaving"
+	CodeEngineFailed        Code = "engine_failed"
+	CodeWrongIncarnation    Code = "wrong_incarnation"
+	CodeUnknownRequest      Code = "unknown_request"
+	CodeNotOwner            Code = "not_owner"
+	CodeCancelled           Code = "cancelled"
+	CodeInternal            Code = "internal"
 )
 
 // Error is an API error with its code and whether the request was executed.
@@ -60,8 +60,8 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...), Ran: wire.Ran_RAN_NO}
 }
 
-// Unknown returns an Error for a request that may have been executed.
-func Unknown(code Code, format string, args ...any) *Error {
+// MaybeExecuted returns an Error for a request that may have been executed.
+func MaybeExecuted(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...), Ran: wire.Ran_RAN_UNKNOWN}
 }
 
@@ -70,8 +70,8 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...), Ran: wire.Ran_RAN_YES}
 }
 
-// After returns a copy of e that tells the caller to retry after d.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e that tells the caller to retry after d.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	out := *e
 	out.RetryAfter = d
 	return &out
@@ -87,7 +87,7 @@
 	if errors.As(err, &e) {
 		return e
 	}
-	return Unknown(CodeInternal, "%v", err)
+	return MaybeExecuted(CodeInternal, "%v", err)
 }
 
 // Is reports whether the chain of err contains an Error with code.
@@ -97,28 +97,28 @@
 }
 
 var statusByCode = map[Code]int{
-	CodeBadRequest:       http.StatusBadRequest,
-	CodeTooLarge:         http.StatusRequestEntityTooLarge,
-	CodeUnauthorized:     http.StatusUnauthorized,
-	CodeForbidden:        http.StatusForbidden,
-	CodeNotFound:         http.StatusNotFound,
-	CodeUnknownModel:     http.StatusNotFound,
-	CodeKeyConflict:      http.StatusConflict,
-	CodePlanConflict:     http.StatusConflict,
-	CodeRateLimited:      http.StatusTooManyRequests,
-	CodeOverloaded:       http.StatusServiceUnavailable,
-	CodeNotRun:           http.StatusServiceUnavailable,
-	CodeOutcomeUnknown:   http.StatusBadGateway,
-	CodeDeadline:         http.StatusGatewayTimeout,
-	CodeLogDown:          http.StatusServiceUnavailable,
-	CodeNoTarget:         http.StatusServiceUnavailable,
-	CodeLeaving:          http.StatusServiceUnavailable,
-	CodeEngine:           http.StatusBadGateway,
-	CodeWrongIncarnation: http.StatusServiceUnavailable,
-	CodeUnknownRequest:   http.StatusNotFound,
-	CodeNotOwner:         http.StatusServiceUnavailable,
-	CodeCancelled:        http.StatusConflict,
-	CodeInternal:         http.StatusInternalServerError,
+	CodeBadRequest:          http.StatusBadRequest,
+	CodeTooLarge:            http.StatusRequestEntityTooLarge,
+	CodeUnauthorized:        http.StatusUnauthorized,
+	CodeForbidden:           http.StatusForbidden,
+	CodeNotFound:            http.StatusNotFound,
+	CodeModelNotFound:       http.StatusNotFound,
+	CodeIdempotencyConflict: http.StatusConflict,
+	CodePlanConflict:        http.StatusConflict,
+	CodeRateLimited:         http.StatusTooManyRequests,
+	CodeOverloaded:          http.StatusServiceUnavailable,
+	CodeNotRun:              http.StatusServiceUnavailable,
+	CodeOutcomeUnknown:      http.StatusBadGateway,
+	CodeDeadlineExceeded:    http.StatusGatewayTimeout,
+	CodeLogUnavailable:      http.StatusServiceUnavailable,
+	CodeNoTarget:            http.StatusServiceUnavailable,
+	CodeLeaving:             http.StatusServiceUnavailable,
+	CodeEngineFailed:        http.StatusBadGateway,
+	CodeWrongIncarnation:    http.StatusServiceUnavailable,
+	CodeUnknownRequest:      http.StatusNotFound,
+	CodeNotOwner:            http.StatusServiceUnavailable,
+	CodeCancelled:           http.StatusConflict,
+	CodeInternal:            http.StatusInternalServerError,
 }
 
 // Status returns the HTTP status of e.
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -44,7 +44,7 @@
 		named[in.ID] = true
 		// The load and the failures of an earlier incarnation do not apply to a
 		// target that has restarted.
-		if v := t.views[in.ID]; v != nil && v.Instance.Born == in.Born {
+		if v := t.views[in.ID]; v != nil && v.Instance.StartedUnixMs == in.StartedUnixMs {
 			v.Instance = in
 			continue
 		}
@@ -58,9 +58,9 @@
 	t.order = slices.SortedFunc(maps.Values(t.views), func(a, b *View) int { return strings.Compare(a.Instance.ID, b.Instance.ID) })
 }
 
-// Note stores the load that a target's agent reported and resets the corrections made
+// UpdateLoad stores the load that a target's agent reported and resets the corrections made
 // since the previous report. It ignores unknown targets.
-func (t *Table) Note(now time.Time, id string, r Report) {
+func (t *Table) UpdateLoad(now time.Time, id string, r Report) {
 	v := t.views[id]
 	if v == nil {
 		return
@@ -68,25 +68,25 @@
 	v.report, v.reportedAt, v.onlineAtReport, v.seatsTaken, v.reserveFailed = r, now, v.onlineInFlight, 0, false
 }
 
-// Began records that an online request was sent to a target.
-func (t *Table) Began(now time.Time, id string) {
+// OnlineStarted records that an online request was sent to a target.
+func (t *Table) OnlineStarted(now time.Time, id string) {
 	if v := t.views[id]; v != nil {
 		v.onlineInFlight++
 		v.conns.acquire(now)
 	}
 }
 
-// Ended records the end of an online request at a target. The argument reusable says
+// OnlineEnded records the end of an online request at a target. The argument reusable says
 // whether its connection can be used again.
-func (t *Table) Ended(now time.Time, id string, reusable bool) {
+func (t *Table) OnlineEnded(now time.Time, id string, reusable bool) {
 	if v := t.views[id]; v != nil {
 		v.onlineInFlight = max(v.onlineInFlight-1, 0) // the request may have started at an earlier incarnation
 		v.conns.release(now, reusable)
 	}
 }
 
-// BatchBegan records that a batch item was sent to a target.
-func (t *Table) BatchBegan(now time.Time, id string) {
+// BatchStarted records that a batch item was sent to a target.
+func (t *Table) BatchStarted(now time.Time, id string) {
 	if v := t.views[id]; v != nil {
 		v.conns.acquire(now)
 	}
@@ -100,8 +100,8 @@
 	}
 }
 
-// Full records that a target had no slot to reserve.
-func (t *Table) Full(id string) {
+// ReserveFailed records that a target had no slot to reserve.
+func (t *Table) ReserveFailed(id string) {
 	if v := t.views[id]; v != nil {
 		v.reserveFailed = true
 	}
@@ -109,18 +109,18 @@
 
 // Choice is the chosen target with the values that the choice is based on.
 type Choice struct {
-	Instance targets.Instance
-	Load     int           // estimated requests at the target, running and queued
-	Batch    int           // reported requests running for batch
-	Waiting  int           // estimated online requests waiting for a slot there
-	Wait     time.Duration // estimated time until a slot becomes free there
-	Age      time.Duration // age of the load report; -1 if there is no current one
-	Among    int           // number of targets that could have been chosen
+	Instance   targets.Instance
+	Load       int           // estimated requests at the target, running and queued
+	Batch      int           // reported requests running for batch
+	Waiting    int           // estimated online requests waiting for a slot there
+	Wait       time.Duration // estimated time until a slot becomes free there
+	LoadAge    time.Duration // age of the load report; -1 if there is no current one
+	Candidates int           // number of targets that could have been chosen
 }
 
 // Reported reports whether the choice is based on a current load report.
 func (c Choice) Reported() bool {
-	return c.Age >= 0
+	return c.LoadAge >= 0
 }
 
 // Pick chooses the target of a service for an online request, leaving out the targets in
@@ -163,9 +163,9 @@
 		return Choice{}, false
 	}
 	v := drawWeighted(now, candidates, draw)
-	c := Choice{Instance: v.Instance, Load: v.load(now), Batch: v.batch(now), Waiting: v.Waiting(now), Wait: t.wait(now, v), Age: -1, Among: len(candidates)}
+	c := Choice{Instance: v.Instance, Load: v.load(now), Batch: v.batch(now), Waiting: v.Waiting(now), Wait: t.wait(now, v), LoadAge: -1, Candidates: len(candidates)}
 	if v.reported(now) {
-		c.Age = now.Sub(v.reportedAt)
+		c.LoadAge = now.Sub(v.reportedAt)
 	}
 	return c, true
 }
@@ -212,12 +212,12 @@
 	return last
 }
 
-// MayMove reports whether a request that waits at a target should move to another one. It
+// ShouldMove reports whether a request that waits at a target should move to another one. It
 // requires two free slots at the other target, because one free slot may be taken before
 // the request arrives. All waiting requests see the same free slots, and each move gives
 // up a place in a queue and costs a connection; so on average only as many requests move
 // as there are free slots. The argument draw is a random number in [0, 1).
-func (t *Table) MayMove(now time.Time, service, instance string, draw float64) bool {
+func (t *Table) ShouldMove(now time.Time, service, instance string, draw float64) bool {
 	const minFree = 2
 	free, waiting, otherFree := 0, 0, false
 	for id, v := range t.views {
@@ -239,9 +239,9 @@
 	return v != nil && !v.reportedAt.IsZero() && now.Sub(v.reportedAt) <= aliveReportAge && !v.report.Silent
 }
 
-// Serving returns the number of targets of a service that are neither draining nor
+// CountInService returns the number of targets of a service that are neither draining nor
 // superseded.
-func (t *Table) Serving(service string) int {
+func (t *Table) CountInService(service string) int {
 	n := 0
 	for _, v := range t.views {
 		if v.Instance.Service == service && !v.Instance.Draining && !v.Instance.Superseded {
@@ -251,8 +251,8 @@
 	return n
 }
 
-// HasFree reports whether a target has a free slot according to a current load report.
-func (t *Table) HasFree(now time.Time, id string) bool {
+// HasFreeSlot reports whether a target has a free slot according to a current load report.
+func (t *Table) HasFreeSlot(now time.Time, id string) bool {
 	v := t.views[id]
 	return v != nil && v.reported(now) && v.Free(now) > 0
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -40,7 +40,7 @@
 	for i := range n {
 		id := fmt.Sprint("i", i)
 		for _, t := range f.entries {
-			t.Note(now, id, balance.Report{Active: min(f.load[id], slots), Queued: max(0, f.load[id]-slots), Slots: slots})
+			t.UpdateLoad(now, id, balance.Report{Active: min(f.load[id], slots), Queued: max(0, f.load[id]-slots), Slots: slots})
 		}
 	}
 }
@@ -97,7 +97,7 @@
 			for k := 0; k < len(runs); k++ {
 				if runs[k].end.Before(now) {
 					f.load[runs[k].id]--
-					f.entries[runs[k].entry].Ended(now, runs[k].id, true)
+					f.entries[runs[k].entry].OnlineEnded(now, runs[k].id, true)
 					runs = append(runs[:k], runs[k+1:]...)
 					k--
 				}
@@ -111,7 +111,7 @@
 				}
 				id = c.Instance.ID
 			}
-			f.entries[e].Began(now, id)
+			f.entries[e].OnlineStarted(now, id)
 			if f.load[id] >= slots {
 				waited++
 			}
@@ -132,9 +132,9 @@
 	tab := balance.NewTable(1)
 	tab.Replace(instances(3, 8))
 	now := start
-	tab.Note(now, "i0", balance.Report{Active: 8, Queued: 1, Slots: 8})
-	tab.Note(now, "i1", balance.Report{Active: 8, Batch: 2, Slots: 8})
-	tab.Note(now, "i2", balance.Report{Active: 7, Slots: 8})
+	tab.UpdateLoad(now, "i0", balance.Report{Active: 8, Queued: 1, Slots: 8})
+	tab.UpdateLoad(now, "i1", balance.Report{Active: 8, Batch: 2, Slots: 8})
+	tab.UpdateLoad(now, "i2", balance.Report{Active: 7, Slots: 8})
 	want := []string{"i2", "i1", "i0"}
 	tried := make(map[string]bool)
 	for _, id := range want {
@@ -160,7 +160,7 @@
 	if c, ok := tab.Pick(start, "s", nil, 0.5); ok {
 		t.Fatalf("Pick chose %s", c.Instance.ID)
 	}
-	if rooms := tab.Rooms(start, "s"); len(rooms) > 0 {
+	if rooms := tab.BatchTargets(start, "s"); len(rooms) > 0 {
 		t.Fatalf("batch work may go to %v", rooms)
 	}
 }
@@ -170,7 +170,7 @@
 	tab := balance.NewTable(1)
 	tab.Replace(instances(2, 8))
 	for _, id := range []string{"i0", "i1"} {
-		if d := tab.Judge(start, id, balance.Unfit); d == 0 {
+		if d := tab.RecordOutcome(start, id, balance.Unreachable); d == 0 {
 			t.Fatalf("%s was not ejected", id)
 		}
 	}
@@ -178,7 +178,7 @@
 		t.Fatal("Pick chose no target")
 	}
 	// Batch work can wait until a target is no longer ejected.
-	if rooms := tab.Rooms(start, "s"); len(rooms) > 0 {
+	if rooms := tab.BatchTargets(start, "s"); len(rooms) > 0 {
 		t.Fatalf("batch work may go to ejected targets %v", rooms)
 	}
 }
@@ -188,14 +188,14 @@
 	tab := balance.NewTable(1)
 	tab.Replace(instances(1, 8))
 	for range 10 {
-		tab.Judge(start, "i0", balance.Doubted)
-		tab.Judge(start, "i0", balance.Doubted)
-		tab.Judge(start, "i0", balance.Sound)
+		tab.RecordOutcome(start, "i0", balance.Failed)
+		tab.RecordOutcome(start, "i0", balance.Failed)
+		tab.RecordOutcome(start, "i0", balance.Succeeded)
 	}
 	now := start
 	var last time.Duration
 	for i := range 6 {
-		d := tab.Judge(now, "i0", balance.Unfit)
+		d := tab.RecordOutcome(now, "i0", balance.Unreachable)
 		if d == 0 || d < last {
 			t.Fatalf("ejection %d lasts %s, the previous one lasted %s", i, d, last)
 		}
@@ -212,22 +212,22 @@
 func TestNoBatchWorkWithoutCurrentReport(t *testing.T) {
 	tab := balance.NewTable(1)
 	tab.Replace(instances(1, 8))
-	if rooms := tab.Rooms(start, "s"); len(rooms) != 0 {
+	if rooms := tab.BatchTargets(start, "s"); len(rooms) != 0 {
 		t.Fatalf("without any report: got %v, want no targets", rooms)
 	}
-	tab.Note(start, "i0", balance.Report{Active: 6, Slots: 8, Room: 2})
-	if rooms := tab.Rooms(start, "s"); len(rooms) != 1 || rooms[0].Free != 2 {
+	tab.UpdateLoad(start, "i0", balance.Report{Active: 6, Slots: 8, FreeSeats: 2})
+	if rooms := tab.BatchTargets(start, "s"); len(rooms) != 1 || rooms[0].Free != 2 {
 		t.Fatalf("with a current report: got %v, want one target with 2 free slots", rooms)
 	}
-	tab.Seated("i0", true)
-	if rooms := tab.Rooms(start, "s"); len(rooms) != 1 || rooms[0].Free != 1 {
+	tab.RecordSeatReply("i0", true)
+	if rooms := tab.BatchTargets(start, "s"); len(rooms) != 1 || rooms[0].Free != 1 {
 		t.Fatalf("after a granted seat: got %v, want one target with 1 free slot", rooms)
 	}
-	tab.Seated("i0", false)
-	if rooms := tab.Rooms(start, "s"); len(rooms) != 0 {
+	tab.RecordSeatReply("i0", false)
+	if rooms := tab.BatchTargets(start, "s"); len(rooms) != 0 {
 		t.Fatalf("after a refused seat: got %v, want no targets", rooms)
 	}
-	if rooms := tab.Rooms(start.Add(3*time.Second), "s"); len(rooms) != 0 {
+	if rooms := tab.BatchTargets(start.Add(3*time.Second), "s"); len(rooms) != 0 {
 		t.Fatalf("with an outdated report: got %v, want no targets", rooms)
 	}
 }
@@ -238,18 +238,18 @@
 func TestRestartedTargetHasNoHistory(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tab := balance.NewTable(0)
-	old := targets.Instance{ID: "a", Born: 1, Service: "s", Slots: 1}
+	old := targets.Instance{ID: "a", StartedUnixMs: 1, Service: "s", Slots: 1}
 	tab.Replace([]targets.Instance{old})
-	tab.Began(now, "a")
-	tab.Judge(now, "a", balance.Unfit)
+	tab.OnlineStarted(now, "a")
+	tab.RecordOutcome(now, "a", balance.Unreachable)
 	again := old
-	again.Born = 2
+	again.StartedUnixMs = 2
 	tab.Replace([]targets.Instance{again})
 	c, ok := tab.Pick(now, "s", nil, 0)
 	if !ok || c.Load != 0 {
 		t.Fatalf("got %+v, %v, want a choice with load 0", c, ok)
 	}
-	tab.Ended(now, "a", false) // the request at the earlier incarnation
+	tab.OnlineEnded(now, "a", false) // the request at the earlier incarnation
 	if c, _ := tab.Pick(now, "s", nil, 0); c.Load != 0 {
 		t.Fatalf("load is %d after the end of a request at the earlier incarnation, want 0", c.Load)
 	}
@@ -286,8 +286,8 @@
 			e := running[0]
 			running = running[1:]
 			f.load[e.id]--
-			f.entries[e.entry].Ended(now, e.id, true)
-			f.entries[e.entry].Judge(now, e.id, balance.Sound)
+			f.entries[e.entry].OnlineEnded(now, e.id, true)
+			f.entries[e.entry].RecordOutcome(now, e.id, balance.Succeeded)
 		}
 		if r%15 == 0 {
 			f.reportWithFailures(now, n, slots, failures)
@@ -302,14 +302,14 @@
 		_, _ = fmt.Sscanf(id, "i%d", &number) // all IDs have this form
 		if number < failing {
 			reached++
-			f.entries[entry].Judge(now, id, balance.Doubted)
+			f.entries[entry].RecordOutcome(now, id, balance.Failed)
 			if failures[id] == nil {
 				failures[id] = make(map[int]time.Time)
 			}
 			failures[id][entry] = now
 			continue
 		}
-		f.entries[entry].Began(now, id)
+		f.entries[entry].OnlineStarted(now, id)
 		f.load[id]++
 		running = append(running, ending{now.Add(holdTime), entry, id})
 	}
@@ -331,7 +331,7 @@
 			}
 		}
 		for _, t := range f.entries {
-			t.Note(now, id, balance.Report{Active: min(f.load[id], slots), Queued: max(0, f.load[id]-slots), Slots: slots, Witnesses: count})
+			t.UpdateLoad(now, id, balance.Report{Active: min(f.load[id], slots), Queued: max(0, f.load[id]-slots), Slots: slots, FailingEntries: count})
 		}
 	}
 }
@@ -342,22 +342,22 @@
 	tab := balance.NewTable(0)
 	tab.Replace(instances(3, 2))
 	for i := range 3 {
-		tab.Note(start, fmt.Sprint("i", i), balance.Report{Slots: 2, Silent: true})
+		tab.UpdateLoad(start, fmt.Sprint("i", i), balance.Report{Slots: 2, Silent: true})
 	}
 	if _, ok := tab.Pick(start, "s", nil, 0.5); !ok {
 		t.Fatal("Pick chose no target although all are only suspect")
 	}
-	tab.Note(start, "i0", balance.Report{Active: 2, Queued: 1, Slots: 2})
+	tab.UpdateLoad(start, "i0", balance.Report{Active: 2, Queued: 1, Slots: 2})
 	if c, _ := tab.Pick(start, "s", nil, 0.5); c.Instance.ID == "i0" {
 		t.Error("Pick preferred a queue to a suspect target")
 	}
-	tab.Note(start, "i0", balance.Report{Active: 1, Slots: 2})
+	tab.UpdateLoad(start, "i0", balance.Report{Active: 1, Slots: 2})
 	if c, _ := tab.Pick(start, "s", nil, 0.5); c.Instance.ID != "i0" {
 		t.Error("Pick preferred a suspect target to a free slot")
 	}
 	// A target whose agent has stopped reporting is suspect until the next report.
 	later := start.Add(time.Second)
-	tab.Note(later, "i1", balance.Report{Active: 1, Slots: 2})
+	tab.UpdateLoad(later, "i1", balance.Report{Active: 1, Slots: 2})
 	if c, _ := tab.Pick(later, "s", nil, 0.5); c.Instance.ID != "i1" {
 		t.Error("Pick preferred targets whose agents have stopped reporting")
 	}
--- a/balance/batchtargets.go
+++ b/balance/batchtargets.go
@@ -8,45 +8,45 @@
 	"pumiceford/targets"
 )
 
-// Room is a target that can take batch work.
-type Room struct {
+// BatchTarget is a target that can take batch work.
+type BatchTarget struct {
 	Instance targets.Instance
 	Free     int  // estimated number of free slots that batch work may use
-	Doubtful bool // the target may not answer as expected
+	Suspect  bool // the target may not answer as expected
 	idleConn bool // this process has an idle connection to it
 }
 
-// Rooms returns the targets of a service whose agents have free seats for batch work.
+// BatchTargets returns the targets of a service whose agents have free seats for batch work.
 // Targets that may not answer come last; otherwise targets with an idle connection come
 // first, then those with the most free slots. Targets without a current report get no
 // batch work, because no agent would notice online requests waiting behind it.
-func (t *Table) Rooms(now time.Time, service string) []Room {
+func (t *Table) BatchTargets(now time.Time, service string) []BatchTarget {
 	return t.batchTargets(now, service, false)
 }
 
-// RoomsPressing returns the targets for an item that is due soon. Such an item may also
+// UrgentBatchTargets returns the targets for an item that is due soon. Such an item may also
 // use the slots that are kept free of other items.
-func (t *Table) RoomsPressing(now time.Time, service string) []Room {
+func (t *Table) UrgentBatchTargets(now time.Time, service string) []BatchTarget {
 	return t.batchTargets(now, service, true)
 }
 
-func (t *Table) batchTargets(now time.Time, service string, urgent bool) []Room {
-	var out []Room
+func (t *Table) batchTargets(now time.Time, service string, urgent bool) []BatchTarget {
+	var out []BatchTarget
 	for _, v := range t.views {
 		if !v.eligible(now, service, nil, false) || !v.reported(now) || v.report.Silent {
 			continue
 		}
-		seats := v.report.Room
+		seats := v.report.FreeSeats
 		if urgent {
-			seats += v.report.Spare
+			seats += v.report.UrgentSeats
 		}
 		if free := min(v.Free(now), seats) - v.seatsTaken; free > 0 {
-			out = append(out, Room{Instance: v.Instance, Free: free, Doubtful: v.suspect(now), idleConn: v.conns.idle(now)})
+			out = append(out, BatchTarget{Instance: v.Instance, Free: free, Suspect: v.suspect(now), idleConn: v.conns.idle(now)})
 		}
 	}
-	slices.SortFunc(out, func(a, b Room) int {
-		if a.Doubtful != b.Doubtful {
-			if b.Doubtful {
+	slices.SortFunc(out, func(a, b BatchTarget) int {
+		if a.Suspect != b.Suspect {
+			if b.Suspect {
 				return -1
 			}
 			return 1
@@ -68,15 +68,15 @@
 	return out
 }
 
-// Fit reports whether a target belongs to a service and may get work now.
-func (t *Table) Fit(now time.Time, service, id string) bool {
+// Eligible reports whether a target belongs to a service and may get work now.
+func (t *Table) Eligible(now time.Time, service, id string) bool {
 	v := t.views[id]
 	return v != nil && v.eligible(now, service, nil, false)
 }
 
-// Seated records whether an agent granted a seat. After a refusal the target counts as
+// RecordSeatReply records whether an agent granted a seat. After a refusal the target counts as
 // having no free seats until its next report.
-func (t *Table) Seated(id string, granted bool) {
+func (t *Table) RecordSeatReply(id string, granted bool) {
 	v := t.views[id]
 	if v == nil {
 		return
--- a/balance/view.go
+++ b/balance/view.go
@@ -22,16 +22,16 @@
 
 // Report is a target's load as reported by its agent.
 type Report struct {
-	Active int // requests running, batch included
-	Queued int // requests waiting for a slot
-	Batch  int // requests running for batch
-	Slots  int
-	Room   int // seats that batch work can get
-	Spare  int // further seats for items that are due soon
+	Active      int // requests running, batch included
+	Queued      int // requests waiting for a slot
+	Batch       int // requests running for batch
+	Slots       int
+	FreeSeats   int // seats that batch work can get
+	UrgentSeats int // further seats for items that are due soon
 	// Silent says that the target does not respond to its agent.
 	Silent bool
 	// Number of entries that recently reported failures to the agent.
-	Witnesses int
+	FailingEntries int
 }
 
 // View is the state of one target as this process knows it.
--- a/balance/wait.go
+++ b/balance/wait.go
@@ -15,8 +15,8 @@
 	holdTimeSmoothing = 0.05
 )
 
-// NoteHold adds to a service's moving average the time that a request held its slot.
-func (t *Table) NoteHold(service string, took time.Duration) {
+// ObserveHoldTime adds to a service's moving average the time that a request held its slot.
+func (t *Table) ObserveHoldTime(service string, took time.Duration) {
 	known := t.holdTime(service)
 	t.holdTimes[service] = known + time.Duration(holdTimeSmoothing*float64(took-known))
 }
@@ -43,20 +43,20 @@
 // without a reservation all but the first of their requests would wait.
 const reserveMaxFree = 4
 
-// WorthReserving reports whether the target's free slot may be taken before the request
+// ShouldReserve reports whether the target's free slot may be taken before the request
 // arrives. Without a current load report that is always possible.
-func (c Choice) WorthReserving() bool {
+func (c Choice) ShouldReserve() bool {
 	free := c.Instance.Slots - c.Load
 	return free > 0 && (free <= reserveMaxFree || !c.Reported())
 }
 
-// Useful reports whether the queue at the chosen target is short enough to wait there.
-func (c Choice) Useful() bool {
+// QueueBelowLimit reports whether the queue at the chosen target is short enough to wait there.
+func (c Choice) QueueBelowLimit() bool {
 	return float64(c.Waiting) < max(1, maxWaitingShare*float64(c.Instance.Slots))
 }
 
-// Within reports whether the request may wait at the chosen target and a slot is estimated
+// FreeWithin reports whether the request may wait at the chosen target and a slot is estimated
 // to become free within d.
-func (c Choice) Within(d time.Duration) bool {
-	return c.Useful() && c.Wait <= d
+func (c Choice) FreeWithin(d time.Duration) bool {
+	return c.QueueBelowLimit() && c.Wait <= d
 }
--- a/batch/dispatcher.go
+++ b/batch/dispatcher.go
@@ -14,17 +14,17 @@
 }
 
 // Limits bounds the attempts to run one item. An item that reaches MaxAttempts or
-// MaxTargetLoss is recorded as failed.
+// MaxTargetLosses is recorded as failed.
 type Limits struct {
-	MaxAttempts   uint32        // executions that ended in a retryable failure, default 4
-	MaxTargetLoss uint32        // targets lost while the item ran alone, default 2
-	BackoffBase   time.Duration // base of the exponential back-off, default 200 ms
-	BackoffMax    time.Duration // longest back-off, default 10 s
+	MaxAttempts     uint32        // executions that ended in a retryable failure, default 4
+	MaxTargetLosses uint32        // targets lost while the item ran alone, default 2
+	BackoffBase     time.Duration // base of the exponential back-off, default 200 ms
+	BackoffMax      time.Duration // longest back-off, default 10 s
 }
 
 // DefaultLimits returns the default limits.
 func DefaultLimits() Limits {
-	return Limits{MaxAttempts: 4, MaxTargetLoss: 2, BackoffBase: 200 * time.Millisecond, BackoffMax: 10 * time.Second}
+	return Limits{MaxAttempts: 4, MaxTargetLosses: 2, BackoffBase: 200 * time.Millisecond, BackoffMax: 10 * time.Second}
 }
 
 // activeGrant is the grant of one item to an agent.
@@ -357,7 +357,7 @@
 	} else {
 		rec.attempts++
 	}
-	if rec.attempts >= d.limits.MaxAttempts || rec.targetLosses >= d.limits.MaxTargetLoss {
+	if rec.attempts >= d.limits.MaxAttempts || rec.targetLosses >= d.limits.MaxTargetLosses {
 		return VerdictFailed
 	}
 	d.removeGrant(key, g)
@@ -434,7 +434,7 @@
 // AgentLost queues again the items granted to a lost agent, except those in held,
 // which stay with the agent. Items that were started there become suspects, which
 // run alone. It returns the items that the caller must record as failed, sorted:
-// those that reached MaxTargetLoss, and started non-idempotent ones.
+// those that reached MaxTargetLosses, and started non-idempotent ones.
 func (d *Dispatcher) AgentLost(agent string, held map[ItemKey]bool) []ItemKey {
 	var failed []ItemKey
 	for _, key := range d.HeldBy(agent) {
@@ -453,7 +453,7 @@
 		}
 		rec := d.failureOf(key)
 		rec.countHostLoss(g)
-		if rec.targetLosses >= d.limits.MaxTargetLoss {
+		if rec.targetLosses >= d.limits.MaxTargetLosses {
 			failed = append(failed, key)
 			continue
 		}
--- a/batch/dispatcher_test.go
+++ b/batch/dispatcher_test.go
@@ -65,7 +65,7 @@
 		if len(failed) != 1 || !failed[killer] {
 			rt.Fatalf("failed items %v, want only %d", failed, killer)
 		}
-		if limit := 1 + int(DefaultLimits().MaxTargetLoss); lost > limit {
+		if limit := 1 + int(DefaultLimits().MaxTargetLosses); lost > limit {
 			rt.Fatalf("%d targets lost, want at most %d", lost, limit)
 		}
 	})
--- a/batch/partition.go
+++ b/batch/partition.go
@@ -155,7 +155,7 @@
 	p.next = rec.Offset + 1
 	p.logTime = rec.Time
 	env, inc, ok := oplog.Decode(rec.Data)
-	if !ok || !p.dedupe.Fresh(inc, env.GetSeq(), rec.Offset) {
+	if !ok || !p.dedupe.Accept(inc, env.GetSeq(), rec.Offset) {
 		return nil
 	}
 	var events []Event
--- a/bench/ledger.go
+++ b/bench/ledger.go
@@ -20,19 +20,19 @@
 
 // LedgerLine is one measurement of the ledger or of the naive baseline.
 type LedgerLine struct {
-	Name           string  `json:"name"`
-	Items          int     `json:"items"`
-	ItemsPerSecond float64 `json:"items_per_second"`
-	AppendsPer1000 float64 `json:"appends_per_1000_items"`
-	LogBytesPer    float64 `json:"log_bytes_per_item"`
+	Name                string  `json:"name"`
+	Items               int     `json:"items"`
+	ItemsPerSecond      float64 `json:"items_per_second"`
+	AppendsPer1000Items float64 `json:"appends_per_1000_items"`
+	LogBytesPerItem     float64 `json:"log_bytes_per_item"`
 }
 
 // Ledger is the result of the ledger experiment.
 type Ledger struct {
 	Lines []LedgerLine `json:"lines"`
 	// Memory for a completed item in the fold and in the naive baseline.
-	MemoryPer      float64 `json:"memory_bytes_per_item"`
-	NaiveMemoryPer float64 `json:"naive_memory_bytes_per_item"`
+	MemoryBytesPerItem      float64 `json:"memory_bytes_per_item"`
+	NaiveMemoryBytesPerItem float64 `json:"naive_memory_bytes_per_item"`
 	// Time until a new owner of a partition with a million completed items has read its
 	// own takeover record, with replay from the first record and from the newest
 	// snapshot.
@@ -69,13 +69,13 @@
 		return out, err
 	}
 	out.Lines = []LedgerLine{full, paced, naive}
-	out.MemoryPer, out.NaiveMemoryPer = memoryRun()
+	out.MemoryBytesPerItem, out.NaiveMemoryBytesPerItem = memoryRun()
 	out.ReplayAllSeconds, out.ReplaySnapshotSeconds, err = replayRun(ctx)
 	return out, err
 }
 
 // instantAgent returns a result for every grant at once or at a fixed rate. It
-// implements ledger.Stream.
+// implements ledger.AgentStream.
 type instantAgent struct {
 	up     chan *wire.FeedUp
 	done   chan struct{}
@@ -91,7 +91,7 @@
 	return &instantAgent{up: make(chan *wire.FeedUp, 1024), done: make(chan struct{}), rate: pace, result: make([]byte, ledgerResult)}
 }
 
-// Send implements ledger.Stream.
+// Send implements ledger.AgentStream.
 func (a *instantAgent) Send(m *wire.FeedDown) error {
 	up := &wire.FeedUp{Models: []string{benchModel}}
 	if !a.declared {
@@ -117,7 +117,7 @@
 	}
 }
 
-// Recv implements ledger.Stream.
+// Recv implements ledger.AgentStream.
 func (a *instantAgent) Recv(m *wire.FeedUp) error {
 	select {
 	case up := <-a.up:
@@ -128,7 +128,7 @@
 	}
 }
 
-// Close implements ledger.Stream.
+// Close implements ledger.AgentStream.
 func (a *instantAgent) Close() {
 	a.once.Do(func() { close(a.done) })
 }
@@ -148,7 +148,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	log := standin.NewLog(standin.LogSettings{Latency: ledgerLatency})
-	o := ledger.NewOwner(ledger.Config{Node: "bench", Log: log, Partitions: 1, Grace: time.Millisecond}, 0)
+	o := ledger.NewOwner(ledger.Config{Node: "bench", Log: log, Partitions: 1, GracePeriod: time.Millisecond}, 0)
 	go func() { _ = o.Run(ctx) }()
 	for !o.Ready() {
 		time.Sleep(time.Millisecond)
@@ -156,19 +156,19 @@
 	if err := submitJob(ctx, o, items); err != nil {
 		return LedgerLine{}, err
 	}
-	appends, bytes := log.Counts()
+	appends, bytes := log.AppendCounts()
 	began := time.Now()
 	go o.Attach(ctx, "agent", newInstantAgent(pace))
 	if err := waitJob(ctx, o); err != nil {
 		return LedgerLine{}, err
 	}
 	took := time.Since(began)
-	appends2, bytes2 := log.Counts()
+	appends2, bytes2 := log.AppendCounts()
 	n := float64(items)
 	line := LedgerLine{
 		Name: name, Items: items, ItemsPerSecond: n / took.Seconds(),
-		AppendsPer1000: float64(appends2-appends) / n * 1000,
-		LogBytesPer:    float64(bytes2-bytes) / n,
+		AppendsPer1000Items: float64(appends2-appends) / n * 1000,
+		LogBytesPerItem:     float64(bytes2-bytes) / n,
 	}
 	return line, nil
 }
@@ -277,11 +277,11 @@
 		}
 	}
 	took := time.Since(began)
-	appends, bytes := log.Counts()
+	appends, bytes := log.AppendCounts()
 	n := float64(items)
 	line := LedgerLine{
 		Name: "naive ledger, one record per item", Items: items, ItemsPerSecond: n / took.Seconds(),
-		AppendsPer1000: float64(appends) / n * 1000, LogBytesPer: float64(bytes) / n,
+		AppendsPer1000Items: float64(appends) / n * 1000, LogBytesPerItem: float64(bytes) / n,
 	}
 	return line, nil
 }
--- a/bench/load/backlog_test.go
+++ b/bench/load/backlog_test.go
@@ -16,10 +16,10 @@
 // complete.
 func TestBacklogUsesReservedSlots(t *testing.T) {
 	t.Parallel()
-	scenario := load.Grown
-	scenario.Name, scenario.Targets, scenario.Items, scenario.Duration = "backlog", 48, 60, 42*time.Second
+	scenario := load.Fleet56
+	scenario.Name, scenario.Targets, scenario.ItemRate, scenario.Duration = "backlog", 48, 60, 42*time.Second
 	const inTime, late = 740, 1700
-	got := load.Run(scenario, load.Seats, 1)
+	got := load.Run(scenario, load.AllReports, 1)
 	t.Logf("\n%s", got)
 	if got.InTime < inTime || got.Late > late {
 		t.Errorf("%d items in time and %d first events late, want at least 740 and at most 1,700", got.InTime, got.Late)
@@ -33,15 +33,15 @@
 func TestBacklogUsesReservedSlotsEarly(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		scenario load.Shape
+		scenario load.Scenario
 		items    float64 // a second
 		inTime   int
 	}{
-		{load.Guild, 11, 230},
-		{load.Grown, 66, 1190},
+		{load.Fleet9, 11, 230},
+		{load.Fleet56, 66, 1190},
 	} {
-		c.scenario.Items, c.scenario.Duration = c.items, 42*time.Second
-		got := load.Run(c.scenario, load.Admit, 1)
+		c.scenario.ItemRate, c.scenario.Duration = c.items, 42*time.Second
+		got := load.Run(c.scenario, load.RefuseLate, 1)
 		t.Logf("\n%s", got)
 		if got.InTime < c.inTime {
 			t.Errorf("%s: %d of %d items in time, want at least %d", c.scenario.Name, got.InTime, got.Items, c.inTime)
--- a/bench/load/batch.go
+++ b/bench/load/batch.go
@@ -26,12 +26,12 @@
 func (r *replay) dispatch(e *entry) {
 	r.after(dispatchInterval, func() { r.dispatch(e) })
 	rank := func(w *work) schedule.Item {
-		return schedule.Item{Due: w.due, Left: w.remaining, Begun: w.remaining < r.scenario.RunTime}
+		return schedule.Item{Due: w.due, Remaining: w.remaining, Started: w.remaining < r.scenario.RunTime}
 	}
 	slices.SortStableFunc(e.batch, func(a, b *work) int { return schedule.Compare(r.now, rank(a), rank(b)) })
 	for len(e.batch) > 0 {
 		w := e.batch[0]
-		if !r.acquireSeat(e, w, rank(w).YieldRank(r.now)) {
+		if !r.acquireSeat(e, w, rank(w).YieldDue(r.now)) {
 			return
 		}
 		e.batch = e.batch[1:]
@@ -41,18 +41,18 @@
 // acquireSeat requests a seat for an item from the agents, most suitable target first,
 // and starts the item at the first that grants one.
 func (r *replay) acquireSeat(e *entry, w *work, due time.Time) bool {
-	candidates := e.table.Rooms(r.now, "s")
-	if seats.Presses(r.now, due) {
-		candidates = e.table.RoomsPressing(r.now, "s")
+	candidates := e.table.BatchTargets(r.now, "s")
+	if seats.Urgent(r.now, due) {
+		candidates = e.table.UrgentBatchTargets(r.now, "s")
 	}
 	for _, c := range candidates {
 		t := r.byID[c.Instance.ID]
 		seat, granted := t.arbiter.Acquire(r.now, due)
-		e.table.Seated(t.id, granted)
+		e.table.RecordSeatReply(t.id, granted)
 		if granted {
 			w.target, w.seat = t, seat
 			t.workBySeat[seat] = w
-			e.table.BatchBegan(r.now, t.id)
+			e.table.BatchStarted(r.now, t.id)
 			r.submit(w)
 			return true
 		}
--- a/bench/load/load.go
+++ b/bench/load/load.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Shape is a fleet and its workload.
-type Shape struct {
+// Scenario is a fleet and its workload.
+type Scenario struct {
 	Name    string
 	Targets int
 	Slots   int // per target
@@ -18,7 +18,7 @@
 	TroughRate, PeakRate float64
 	HoldTime             time.Duration // time that a request occupies a slot
 	MixedSpeeds          bool          // one target in three takes 1.3 times as long
-	Items                float64       // batch items a second
+	ItemRate             float64       // batch items a second
 	RunTime              time.Duration
 	DueWithin            time.Duration
 	Duration             time.Duration
@@ -26,10 +26,10 @@
 
 // Models of four deployments, with rounded sizes.
 var (
-	Guild   = Shape{Name: "guild", Targets: 9, Slots: 8, Entries: 8, TroughRate: 16, PeakRate: 76, HoldTime: 700 * time.Millisecond, Items: 5, RunTime: 5 * time.Second, DueWithin: 18 * time.Second, Duration: 60 * time.Second}
-	Ffitiad = Shape{Name: "ffitiad", Targets: 18, Slots: 8, Entries: 8, TroughRate: 32, PeakRate: 155, HoldTime: 700 * time.Millisecond, Items: 10, RunTime: 5 * time.Second, DueWithin: 18 * time.Second, Duration: 60 * time.Second}
-	Large   = Shape{Name: "large", Targets: 180, Slots: 7, Entries: 133, TroughRate: 350, PeakRate: 1600, HoldTime: 600 * time.Millisecond, Items: 105, RunTime: 4800 * time.Millisecond, DueWithin: 18 * time.Second, Duration: 42 * time.Second}
-	Grown   = Shape{Name: "grown", Targets: 56, Slots: 7, Entries: 40, TroughRate: 113, PeakRate: 440, HoldTime: 740 * time.Millisecond, MixedSpeeds: true, Items: 30, RunTime: 4 * time.Second, DueWithin: 18 * time.Second, Duration: 60 * time.Second}
+	Fleet9   = Scenario{Name: "guild", Targets: 9, Slots: 8, Entries: 8, TroughRate: 16, PeakRate: 76, HoldTime: 700 * time.Millisecond, ItemRate: 5, RunTime: 5 * time.Second, DueWithin: 18 * time.Second, Duration: 60 * time.Second}
+	Fleet18  = Scenario{Name: "ffitiad", Targets: 18, Slots: 8, Entries: 8, TroughRate: 32, PeakRate: 155, HoldTime: 700 * time.Millisecond, ItemRate: 10, RunTime: 5 * time.Second, DueWithin: 18 * time.Second, Duration: 60 * time.Second}
+	Fleet180 = Scenario{Name: "large", Targets: 180, Slots: 7, Entries: 133, TroughRate: 350, PeakRate: 1600, HoldTime: 600 * time.Millisecond, ItemRate: 105, RunTime: 4800 * time.Millisecond, DueWithin: 18 * time.Second, Duration: 42 * time.Second}
+	Fleet56  = Scenario{Name: "grown", Targets: 56, Slots: 7, Entries: 40, TroughRate: 113, PeakRate: 440, HoldTime: 740 * time.Millisecond, MixedSpeeds: true, ItemRate: 30, RunTime: 4 * time.Second, DueWithin: 18 * time.Second, Duration: 60 * time.Second}
 )
 
 // Policy configures the placement of work.
@@ -63,12 +63,12 @@
 
 // The policies that pumice-bench compares.
 var (
-	Seats = Policy{Name: "all load reports"}
-	// Admit matches the product: it also refuses requests that would be late.
-	Admit   = Policy{Name: "refuse late requests", MaxWatched: 16, MinReportInterval: 50 * time.Millisecond, ReserveSlots: true, MaxWait: 120 * time.Millisecond, MinRetryAfter: 800 * time.Millisecond, MaxRetryAfter: 1600 * time.Millisecond}
-	Part    = Policy{Name: "partial load reports", MaxWatched: 16, MinReportInterval: 50 * time.Millisecond, ReserveSlots: true}
-	Alone   = Policy{Name: "no load reports", NoLoadReports: true}
-	Forward = Policy{Name: "naive forwarder", NaiveForwarding: true}
+	AllReports = Policy{Name: "all load reports"}
+	// RefuseLate matches the product: it also refuses requests that would be late.
+	RefuseLate     = Policy{Name: "refuse late requests", MaxWatched: 16, MinReportInterval: 50 * time.Millisecond, ReserveSlots: true, MaxWait: 120 * time.Millisecond, MinRetryAfter: 800 * time.Millisecond, MaxRetryAfter: 1600 * time.Millisecond}
+	PartialReports = Policy{Name: "partial load reports", MaxWatched: 16, MinReportInterval: 50 * time.Millisecond, ReserveSlots: true}
+	NoReports      = Policy{Name: "no load reports", NoLoadReports: true}
+	NaiveForwarder = Policy{Name: "naive forwarder", NaiveForwarding: true}
 )
 
 // Outcome is the result of one simulation. Times to the first event count from the
--- a/bench/load/load_test.go
+++ b/bench/load/load_test.go
@@ -9,14 +9,14 @@
 
 // shortened limits a scenario to four peaks, since simulating a large fleet takes long under
 // the race detector.
-func shortened(s load.Shape) load.Shape {
+func shortened(s load.Scenario) load.Scenario {
 	s.Duration = 24 * time.Second
 	return s
 }
 
 // withoutBatch returns the scenario without batch items.
-func withoutBatch(s load.Shape) load.Shape {
-	s.Items = 0
+func withoutBatch(s load.Scenario) load.Scenario {
+	s.ItemRate = 0
 	return s
 }
 
@@ -26,10 +26,10 @@
 // move to the same two slots.
 func TestWaitingRequestsDoNotAllMoveAtOnce(t *testing.T) {
 	t.Parallel()
-	overload := withoutBatch(shortened(load.Grown))
+	overload := withoutBatch(shortened(load.Fleet56))
 	overload.PeakRate = 540
 	all := load.Run(overload, load.Policy{Name: "all move", AlwaysMove: true}, 1)
-	some := load.Run(overload, load.Seats, 1)
+	some := load.Run(overload, load.AllReports, 1)
 	t.Logf("\n%s\n%s", all, some)
 	if some.Moves*4 > all.Moves || some.ConnsOpened*3 > all.ConnsOpened*2 || some.P99 > all.P99*11/10 {
 		t.Fatalf("selective and unconditional moving: moves %d and %d, connections %d and %d, p99 %s and %s", some.Moves, all.Moves, some.ConnsOpened, all.ConnsOpened, some.P99, all.P99)
@@ -41,9 +41,9 @@
 // a fortieth of all.
 func TestLoadReportsReduceLateRequests(t *testing.T) {
 	t.Parallel()
-	for _, scenario := range []load.Shape{load.Guild, load.Ffitiad, load.Grown} {
+	for _, scenario := range []load.Scenario{load.Fleet9, load.Fleet18, load.Fleet56} {
 		scenario = withoutBatch(shortened(scenario))
-		seats, alone := load.Run(scenario, load.Seats, 1), load.Run(scenario, load.Alone, 1)
+		seats, alone := load.Run(scenario, load.AllReports, 1), load.Run(scenario, load.NoReports, 1)
 		t.Logf("\n%s\n%s", seats, alone)
 		if seats.Late*5 > alone.Late {
 			t.Errorf("%s: %d late with load reports, %d without; want at most a fifth", scenario.Name, seats.Late, alone.Late)
@@ -57,8 +57,8 @@
 // seats, or do not start again afterwards.
 func TestBatchUsesTroughsAndYieldsInPeaks(t *testing.T) {
 	t.Parallel()
-	for _, scenario := range []load.Shape{load.Guild, load.Ffitiad} {
-		seats, naive := load.Run(scenario, load.Seats, 1), load.Run(scenario, load.Forward, 1)
+	for _, scenario := range []load.Scenario{load.Fleet9, load.Fleet18} {
+		seats, naive := load.Run(scenario, load.AllReports, 1), load.Run(scenario, load.NaiveForwarder, 1)
 		t.Logf("\n%s\n%s", seats, naive)
 		const lateShare = 200 // at most one request in 200 may be late
 		if seats.Late*lateShare > seats.Requests {
@@ -79,7 +79,7 @@
 // that target may run no batch item that can yield.
 func TestCollisionsPreferTargetsWithBatchWork(t *testing.T) {
 	t.Parallel()
-	o := load.Run(shortened(load.Grown), load.Seats, 1)
+	o := load.Run(shortened(load.Fleet56), load.AllReports, 1)
 	t.Logf("\n%s", o)
 	const lateShare = 50 // at most one request in 50 may be late; it was one in 38
 	if o.Late*lateShare > o.Requests {
@@ -94,9 +94,9 @@
 // entries opened 520 connections instead of 229, and forty entries 7,825 instead of 1,674.
 func TestIdleConnectionsAreReused(t *testing.T) {
 	t.Parallel()
-	for _, scenario := range []load.Shape{load.Ffitiad, load.Grown} {
+	for _, scenario := range []load.Scenario{load.Fleet18, load.Fleet56} {
 		scenario = withoutBatch(shortened(scenario))
-		with := load.Run(scenario, load.Seats, 1)
+		with := load.Run(scenario, load.AllReports, 1)
 		without := load.Run(scenario, load.Policy{Name: "idle conns ignored", IgnoreIdleConns: true}, 1)
 		t.Logf("\n%s\n%s", with, without)
 		if with.ConnsOpened*3 > without.ConnsOpened*2 || with.QueuedAtTarget > without.QueuedAtTarget*11/10+10 {
@@ -108,8 +108,8 @@
 // A simulation is deterministic for a seed.
 func TestSameSeedGivesSameOutcome(t *testing.T) {
 	t.Parallel()
-	scenario := load.Guild
-	a, b := load.Run(scenario, load.Seats, 7), load.Run(scenario, load.Seats, 7)
+	scenario := load.Fleet9
+	a, b := load.Run(scenario, load.AllReports, 7), load.Run(scenario, load.AllReports, 7)
 	if a.String() != b.String() {
 		t.Fatalf("outcomes of one seed differ:\n%s\n%s", a, b)
 	}
@@ -123,10 +123,10 @@
 // and take five times as many messages.
 func TestLargeFleetNeedsFewReports(t *testing.T) {
 	t.Parallel()
-	scenario := load.Large
+	scenario := load.Fleet180
 	scenario.Duration = 12 * time.Second // two peaks; more take long under the race detector
-	part := load.Run(scenario, load.Part, 1)
-	more := load.Part
+	part := load.Run(scenario, load.PartialReports, 1)
+	more := load.PartialReports
 	more.MaxWatched, more.MinReportInterval = 64, 0
 	many := load.Run(scenario, more, 1)
 	t.Logf("\n%s\n%s", part, many)
@@ -144,9 +144,9 @@
 // failure has not been seen.
 func TestPartialReportsServeEachFleetSize(t *testing.T) {
 	t.Parallel()
-	for _, scenario := range []load.Shape{load.Guild, load.Ffitiad, load.Grown} {
+	for _, scenario := range []load.Scenario{load.Fleet9, load.Fleet18, load.Fleet56} {
 		scenario = shortened(scenario)
-		part, all := load.Run(scenario, load.Part, 1), load.Run(scenario, load.Seats, 1)
+		part, all := load.Run(scenario, load.PartialReports, 1), load.Run(scenario, load.AllReports, 1)
 		t.Logf("\n%s\n%s", part, all)
 		if part.Late > all.Late+2 || part.ConnsOpened > all.ConnsOpened*11/10 {
 			t.Errorf("%s: with partial and all load reports: late %d and %d, connections %d and %d", scenario.Name, part.Late, all.Late, part.ConnsOpened, all.ConnsOpened)
--- a/bench/load/online.go
+++ b/bench/load/online.go
@@ -26,7 +26,7 @@
 		return
 	}
 	w.target = r.byID[id]
-	w.entry.table.Began(r.now, id)
+	w.entry.table.OnlineStarted(r.now, id)
 	if w.target.active >= r.scenario.Slots {
 		r.out.QueuedAtTarget++
 	}
@@ -55,9 +55,9 @@
 // accepts reports whether a request is admitted with the estimated wait of a choice.
 func (r *replay) accepts(w *work, c balance.Choice) bool {
 	if w.retried || r.policy.MaxWait == 0 {
-		return c.Useful()
+		return c.QueueBelowLimit()
 	}
-	return c.Within(r.policy.MaxWait)
+	return c.FreeWithin(r.policy.MaxWait)
 }
 
 // reserve tries targets one after the other until one reserves a slot for a request, as
@@ -70,24 +70,24 @@
 		return
 	}
 	c, ok := table.Pick(r.now, "s", asked, r.choiceRand.Float64())
-	if !ok || !c.WorthReserving() {
+	if !ok || !c.ShouldReserve() {
 		r.sendTo(w, c.Instance.ID, ok && r.accepts(w, c))
 		return
 	}
-	table.Began(r.now, c.Instance.ID)
+	table.OnlineStarted(r.now, c.Instance.ID)
 	t := r.byID[c.Instance.ID]
 	granted := t.active+t.reservedSlots < r.scenario.Slots && len(t.queue) == 0
 	if granted {
 		t.reservedSlots++
 	}
 	r.after(reserveTime, func() {
-		table.Ended(r.now, t.id, true)
+		table.OnlineEnded(r.now, t.id, true)
 		if granted {
 			w.reserved = true
 			r.sendTo(w, t.id, true)
 			return
 		}
-		table.Full(t.id)
+		table.ReserveFailed(t.id)
 		next := map[string]bool{t.id: true}
 		maps.Copy(next, asked)
 		r.reserve(w, next)
@@ -125,7 +125,7 @@
 	if r.policy.AlwaysMove {
 		draw = 0
 	}
-	if w.entry.table.MayMove(r.now, "s", w.target.id, draw) {
+	if w.entry.table.ShouldMove(r.now, "s", w.target.id, draw) {
 		r.out.Moves++
 		r.withdraw(w)
 		r.send(w)
--- a/bench/load/overload_test.go
+++ b/bench/load/overload_test.go
@@ -8,7 +8,7 @@
 )
 
 // overloaded sets a scenario's peak rate so that peaks need the given part of all slots.
-func overloaded(s load.Shape, part float64) load.Shape {
+func overloaded(s load.Scenario, part float64) load.Scenario {
 	s.Duration = 12 * time.Second
 	s.PeakRate = float64(s.Targets*s.Slots) / s.HoldTime.Seconds() * part
 	if s.MixedSpeeds {
@@ -25,14 +25,14 @@
 // mostly falls after the peak.
 func TestRefusingLateRequestsServesMoreInTime(t *testing.T) {
 	t.Parallel()
-	large := overloaded(load.Large, 1.3)
+	large := overloaded(load.Fleet180, 1.3)
 	large.Duration = 6 * time.Second // one peak; more takes long under the race detector
-	for _, s := range []load.Shape{
-		overloaded(load.Guild, 1.3), overloaded(load.Guild, 1.6), overloaded(load.Grown, 1.3), overloaded(load.Grown, 1.6), large,
+	for _, s := range []load.Scenario{
+		overloaded(load.Fleet9, 1.3), overloaded(load.Fleet9, 1.6), overloaded(load.Fleet56, 1.3), overloaded(load.Fleet56, 1.6), large,
 	} {
-		queue := load.Part
+		queue := load.PartialReports
 		queue.MinRetryAfter, queue.MaxRetryAfter = 300*time.Millisecond, 300*time.Millisecond
-		all, some := load.Run(s, queue, 1), load.Run(s, load.Admit, 1)
+		all, some := load.Run(s, queue, 1), load.Run(s, load.RefuseLate, 1)
 		t.Logf("\n%s\n%s", all, some)
 		inTime := func(o load.Outcome) int { return len(o.FirstEventTimes) - o.Late - o.RetriedInTime }
 		if inTime(some)*100 < inTime(all)*115 || some.Late > all.Late*3/4 {
@@ -48,8 +48,8 @@
 // need nine tenths of all slots. The failure has not been seen.
 func TestNearFullPeakRefusesFewRequests(t *testing.T) {
 	t.Parallel()
-	for _, scenario := range []load.Shape{load.Guild, load.Grown} {
-		o := load.Run(overloaded(scenario, 0.9), load.Admit, 1)
+	for _, scenario := range []load.Scenario{load.Fleet9, load.Fleet56} {
+		o := load.Run(overloaded(scenario, 0.9), load.RefuseLate, 1)
 		t.Logf("\n%s", o)
 		const share = 100 // at most two requests in 100 may be refused or late
 		if (o.Refused+o.Late)*share > o.Requests*2 {
--- a/bench/load/replay.go
+++ b/bench/load/replay.go
@@ -32,7 +32,7 @@
 // replay is the state of one simulation.
 type replay struct {
 	timeline
-	scenario    Shape
+	scenario    Scenario
 	policy      Policy
 	start       time.Time
 	targets     []*target
@@ -128,17 +128,17 @@
 
 // Run simulates a scenario under a policy. The same seed gives the same arrivals under
 // every policy.
-func Run(scenario Shape, policy Policy, seed uint64) Outcome {
+func Run(scenario Scenario, policy Policy, seed uint64) Outcome {
 	r := &replay{
 		scenario: scenario, policy: policy, byID: make(map[string]*target),
 		choiceRand: rand.New(rand.NewPCG(seed, 1)), arrivalRand: rand.New(rand.NewPCG(seed, 2)), itemRand: rand.New(rand.NewPCG(seed, 3)),
-		out: Outcome{Scenario: scenario.Name, Policy: policy.Name, Batch: scenario.Items > 0},
+		out: Outcome{Scenario: scenario.Name, Policy: policy.Name, Batch: scenario.ItemRate > 0},
 	}
 	r.start = time.Unix(1000, 0)
 	r.now = r.start
 	r.setUp()
 	r.arriveRequest()
-	if scenario.Items > 0 {
+	if scenario.ItemRate > 0 {
 		r.arriveItem()
 	}
 	r.runUntil(r.start.Add(scenario.Duration))
@@ -151,7 +151,7 @@
 	for i := range r.scenario.Targets {
 		t := &target{
 			id: fmt.Sprint("i", i), slow: r.scenario.MixedSpeeds && i%3 == 0,
-			arbiter: seats.NewArbiter(r.scenario.Slots, seats.Reserve(fmt.Sprint("host", i))), workBySeat: make(map[uint64]*work),
+			arbiter: seats.NewArbiter(r.scenario.Slots, seats.ReservedSlots(fmt.Sprint("host", i))), workBySeat: make(map[uint64]*work),
 		}
 		r.targets = append(r.targets, t)
 		r.byID[t.id] = t
@@ -196,7 +196,7 @@
 	}
 	rep := balance.Report{
 		Active: load.Active, Queued: load.Queued, Batch: t.arbiter.Held(), Slots: r.scenario.Slots,
-		Room: max(t.arbiter.Room(r.now), 0), Spare: max(t.arbiter.Spare(r.now), 0),
+		FreeSeats: max(t.arbiter.FreeSeats(r.now), 0), UrgentSeats: max(t.arbiter.UrgentSeats(r.now), 0),
 	}
 	for _, l := range t.listeners {
 		r.sendReport(t, l, rep)
@@ -213,7 +213,7 @@
 	}
 	l.lastReport, l.sentAt = rep, r.now
 	r.out.LoadReports++
-	r.after(networkDelay+time.Duration(r.choiceRand.IntN(8))*time.Millisecond, func() { l.entry.table.Note(r.now, t.id, rep) })
+	r.after(networkDelay+time.Duration(r.choiceRand.IntN(8))*time.Millisecond, func() { l.entry.table.UpdateLoad(r.now, t.id, rep) })
 }
 
 func (r *replay) arriveRequest() {
@@ -233,7 +233,7 @@
 		entry: r.entries[r.itemRand.IntN(len(r.entries))], batch: true, arrived: r.now,
 		due: r.now.Add(r.scenario.DueWithin), remaining: r.scenario.RunTime,
 	}
-	next := time.Duration(r.itemRand.ExpFloat64() / r.scenario.Items * float64(time.Second))
+	next := time.Duration(r.itemRand.ExpFloat64() / r.scenario.ItemRate * float64(time.Second))
 	if w.due.Before(r.start.Add(r.scenario.Duration)) {
 		r.out.Items++
 	}
@@ -296,7 +296,7 @@
 		w.entry.table.BatchEnded(r.now, w.target.id, completed)
 		return
 	}
-	w.entry.table.Ended(r.now, w.target.id, completed && !r.policy.IgnoreIdleConns)
+	w.entry.table.OnlineEnded(r.now, w.target.id, completed && !r.policy.IgnoreIdleConns)
 }
 
 // admit starts queued work in order while the target has free slots.
@@ -335,7 +335,7 @@
 	t.active--
 	r.slotTime += r.now.Sub(w.started)
 	if !w.batch {
-		w.entry.table.NoteHold("s", r.now.Sub(w.started))
+		w.entry.table.ObserveHoldTime("s", r.now.Sub(w.started))
 	}
 	r.release(w, true)
 	if w.batch {
--- a/bench/path.go
+++ b/bench/path.go
@@ -18,19 +18,19 @@
 
 // PathLine is the latency of one-token requests over one path.
 type PathLine struct {
-	Name       string  `json:"name"`
-	P50Ms      float64 `json:"p50_ms"`
-	P99Ms      float64 `json:"p99_ms"`
-	CPUPerCall float64 `json:"cpu_us_per_request"`
+	Name                string  `json:"name"`
+	P50Ms               float64 `json:"p50_ms"`
+	P99Ms               float64 `json:"p99_ms"`
+	CPUMicrosPerRequest float64 `json:"cpu_us_per_request"`
 }
 
 // Path compares direct requests to the simulated engine with requests through an entry
 // and an agent. Rounds of both alternate within one run.
 type Path struct {
-	Rate       int        `json:"requests_per_second"`
-	Lines      []PathLine `json:"lines"`
-	AddedP50Ms float64    `json:"added_p50_ms"`
-	AddedP99Ms float64    `json:"added_p99_ms"`
+	RequestsPerSecond int        `json:"requests_per_second"`
+	Lines             []PathLine `json:"lines"`
+	AddedP50Ms        float64    `json:"added_p50_ms"`
+	AddedP99Ms        float64    `json:"added_p99_ms"`
 	// NoiseP50Ms is the measurement noise: the difference between two series of direct
 	// requests.
 	NoiseP50Ms float64 `json:"noise_p50_ms"`
@@ -73,7 +73,7 @@
 			}
 		}
 	}
-	out := Path{Rate: pathRate}
+	out := Path{RequestsPerSecond: pathRate}
 	for _, r := range runs {
 		out.Lines = append(out.Lines, r.line())
 	}
@@ -91,7 +91,7 @@
 	defer st.Cancel()
 	for {
 		c, err := st.Next(ctx)
-		if err != nil || c.Finish != "" {
+		if err != nil || c.FinishReason != "" {
 			return err
 		}
 	}
@@ -142,7 +142,7 @@
 }
 
 func (r *pathRun) line() PathLine {
-	return PathLine{Name: r.name, P50Ms: median(r.p50), P99Ms: median(r.p99), CPUPerCall: r.cpuSeconds / float64(r.calls) * 1e6}
+	return PathLine{Name: r.name, P50Ms: median(r.p50), P99Ms: median(r.p99), CPUMicrosPerRequest: r.cpuSeconds / float64(r.calls) * 1e6}
 }
 
 func median(v []float64) float64 {
--- a/bench/path_test.go
+++ b/bench/path_test.go
@@ -38,7 +38,7 @@
 	s.left--
 	c := engine.Chunk{Text: "token ", Tokens: 1}
 	if s.left == 0 {
-		c.Finish = "length"
+		c.FinishReason = "length"
 	}
 	// A real engine emits one token a step. Without a pause several tokens share one
 	// write, which understates the cost of a token.
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -29,24 +29,24 @@
 
 // Route maps a host and path prefix to the services for its requests.
 type Route struct {
-	Name        string
-	Host        string
-	PathPrefix  string // begins and ends with a slash
-	Kind        Kind
-	Shares      []Share       // at least one
-	Timeout     time.Duration // longest time that a caller waits
-	FirstWithin time.Duration // objective for an answer or the first event of a stream
-	GapWithin   time.Duration // objective for the time between events
-	Priority    int           // 0 is the most urgent
-	Attempts    int           // maximum number of targets that run a request
-	Resumable   bool          // a stream may continue at another target
-	DueWithin   time.Duration // batch: time from a job's arrival until its results are due
-	KeepTrying  time.Duration // batch: time from a job's arrival until its items may be given up
-	Public      bool          // requests need no key
+	Name             string
+	Host             string
+	PathPrefix       string // begins and ends with a slash
+	Kind             Kind
+	Shares           []Share       // at least one
+	Timeout          time.Duration // longest time that a caller waits
+	FirstEventWithin time.Duration // objective for an answer or the first event of a stream
+	EventGapWithin   time.Duration // objective for the time between events
+	Priority         int           // 0 is the most urgent
+	Attempts         int           // maximum number of targets that run a request
+	Resumable        bool          // a stream may continue at another target
+	DueWithin        time.Duration // batch: time from a job's arrival until its results are due
+	GiveUpAfter      time.Duration // batch: time from a job's arrival until its items may be given up
+	Public           bool          // requests need no key
 }
 
-// Repeatable reports whether a request may be executed more than once.
-func (r *Route) Repeatable() bool {
+// Retryable reports whether a request may be executed more than once.
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Batch || (r.Kind == Streaming && r.Resumable)
 }
 
@@ -79,17 +79,17 @@
 	Name       string
 	HealthPath string
 	MaxConns   int // maximum number of connections to a target from all callers together
-	// ReserveFor is how long a target holds a reserved slot; 0 if slots cannot be
+	// ReservationTTL is how long a target holds a reserved slot; 0 if slots cannot be
 	// reserved.
-	ReserveFor time.Duration
+	ReservationTTL time.Duration
 }
 
 // Limits are the limits for requests of callers.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderTime  time.Duration
-	IdleTime    time.Duration
+	HeaderBytes   int
+	BodyBytes     int64
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
 // Catalog is one version of the configuration.
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -21,7 +21,7 @@
 		var cur catalog.Current
 		highest := int64(-1)
 		for _, v := range rapid.SliceOfN(rapid.Int64Range(0, 20), 1, 50).Draw(rt, "versions") {
-			newer := cur.Offer(catalog.New(v, catalog.Limits{}, nil, nil))
+			newer := cur.SetIfNewer(catalog.New(v, catalog.Limits{}, nil, nil))
 			if newer != (v > highest) {
 				rt.Fatalf("version %d after %d: put in force: %v", v, highest, newer)
 			}
@@ -81,7 +81,7 @@
 		{Name: "idempotent", Kind: catalog.Idempotent}, {Name: "other", Kind: catalog.NonIdempotent},
 		{Name: "stream", Kind: catalog.Streaming}, {Name: "resumable", Kind: catalog.Streaming, Resumable: true},
 	} {
-		if r.Repeatable() {
+		if r.Retryable() {
 			repeatable = append(repeatable, r.Name)
 		}
 	}
--- a/catalog/current.go
+++ b/catalog/current.go
@@ -14,8 +14,8 @@
 	return c.cur.Load()
 }
 
-// Offer puts a catalog in force if its version is higher. It reports whether it did.
-func (c *Current) Offer(next *Catalog) bool {
+// SetIfNewer puts a catalog in force if its version is higher. It reports whether it did.
+func (c *Current) SetIfNewer(next *Catalog) bool {
 	for {
 		old := c.cur.Load()
 		if old != nil && next.Version <= old.Version {
--- a/catalog/workspace.go
+++ b/catalog/workspace.go
@@ -15,7 +15,7 @@
 	Name string
 	Keys []KeyDigest
 	// Overrides the priority of the routes that its callers use, unless nil.
-	Rank *int
+	Priority *int
 	// Rate is the limit in requests per second over all hosts, or 0 for no limit.
 	Rate float64
 	// Burst is the number of requests above Rate that are allowed at once after a time
@@ -23,8 +23,8 @@
 	Burst float64
 }
 
-// Limited reports whether the workspace has a rate limit.
-func (w *Workspace) Limited() bool {
+// RateLimited reports whether the workspace has a rate limit.
+func (w *Workspace) RateLimited() bool {
 	return w.Rate > 0
 }
 
@@ -34,7 +34,7 @@
 	c.byKey = make(map[KeyDigest]*Workspace)
 	c.workspaces = make(map[string]*Workspace, len(all))
 	for i := range all {
-		c.rateLimited = c.rateLimited || all[i].Limited()
+		c.rateLimited = c.rateLimited || all[i].RateLimited()
 		c.workspaces[all[i].Name] = &all[i]
 		for _, k := range all[i].Keys {
 			c.byKey[k] = &all[i]
@@ -43,18 +43,18 @@
 	return c
 }
 
-// Keyed reports whether requests need a key, except on public routes.
-func (c *Catalog) Keyed() bool {
+// RequiresKey reports whether requests need a key, except on public routes.
+func (c *Catalog) RequiresKey() bool {
 	return c.byKey != nil
 }
 
-// Limited reports whether any workspace has a rate limit.
-func (c *Catalog) Limited() bool {
+// RateLimited reports whether any workspace has a rate limit.
+func (c *Catalog) RateLimited() bool {
 	return c.rateLimited
 }
 
-// KeyHolder returns the workspace that a key belongs to, or nil if there is none.
-func (c *Catalog) KeyHolder(key KeyDigest) *Workspace {
+// WorkspaceByKey returns the workspace that a key belongs to, or nil if there is none.
+func (c *Catalog) WorkspaceByKey(key KeyDigest) *Workspace {
 	return c.byKey[key]
 }
 
@@ -63,8 +63,8 @@
 	return c.workspaces[name]
 }
 
-// PublicJobs reports whether a host accepts jobs from callers without a key.
-func (c *Catalog) PublicJobs(host string) bool {
+// AcceptsPublicJobs reports whether a host accepts jobs from callers without a key.
+func (c *Catalog) AcceptsPublicJobs(host string) bool {
 	rs := c.routes(host)
 	for i := range rs {
 		if rs[i].Public && rs[i].Kind == Batch {
--- a/client/client.go
+++ b/client/client.go
@@ -70,11 +70,11 @@
 	defer protocol.ReleaseResponse(resp)
 	c.prepare(req, method, path, contentType, body, headers)
 	if err := c.http.Do(ctx, req, resp); err != nil {
-		return nil, apierr.Unknown(apierr.CodeOutcomeUnknown, "no response: %v", err)
+		return nil, apierr.MaybeExecuted(apierr.CodeOutcomeUnknown, "no response: %v", err)
 	}
 	data, err := resp.BodyE()
 	if err != nil {
-		return nil, apierr.Unknown(apierr.CodeOutcomeUnknown, "response truncated: %v", err)
+		return nil, apierr.MaybeExecuted(apierr.CodeOutcomeUnknown, "response truncated: %v", err)
 	}
 	if resp.StatusCode() >= http.StatusBadRequest {
 		return nil, responseError(resp.StatusCode(), data)
@@ -85,7 +85,7 @@
 func responseError(status int, data []byte) error {
 	var r errorReply
 	if json.Unmarshal(data, &r) != nil || r.Error.Code == "" {
-		return apierr.Unknown(apierr.CodeInternal, "unexpected response with status %d", status)
+		return apierr.MaybeExecuted(apierr.CodeInternal, "unexpected response with status %d", status)
 	}
 	return r.apiError()
 }
@@ -156,7 +156,7 @@
 	defer protocol.ReleaseResponse(resp)
 	c.prepare(req, http.MethodPost, "/v1/completions", "application/json", body, headers)
 	if err := c.http.Do(ctx, req, resp); err != nil {
-		return apierr.Unknown(apierr.CodeOutcomeUnknown, "no response: %v", err)
+		return apierr.MaybeExecuted(apierr.CodeOutcomeUnknown, "no response: %v", err)
 	}
 	if resp.StatusCode() >= http.StatusBadRequest {
 		data, _ := resp.BodyE()
@@ -164,7 +164,7 @@
 	}
 	rd, err := sse.NewReader(resp)
 	if err != nil {
-		return apierr.Unknown(apierr.CodeInternal, "invalid response: %v", err)
+		return apierr.MaybeExecuted(apierr.CodeInternal, "invalid response: %v", err)
 	}
 	defer func() { _ = rd.Close() }()
 	return readStream(rd, sink)
@@ -176,16 +176,16 @@
 	for {
 		if err := rd.Read(ev); err != nil {
 			if errors.Is(err, io.EOF) {
-				return apierr.Unknown(apierr.CodeOutcomeUnknown, "response truncated: the stream ended before [DONE]")
+				return apierr.MaybeExecuted(apierr.CodeOutcomeUnknown, "response truncated: the stream ended before [DONE]")
 			}
-			return apierr.Unknown(apierr.CodeOutcomeUnknown, "invalid response: %v", err)
+			return apierr.MaybeExecuted(apierr.CodeOutcomeUnknown, "invalid response: %v", err)
 		}
 		if string(ev.Data) == "[DONE]" {
 			return nil
 		}
 		var e streamChunk
 		if err := json.Unmarshal(ev.Data, &e); err != nil {
-			return apierr.Unknown(apierr.CodeInternal, "invalid response: %v", err)
+			return apierr.MaybeExecuted(apierr.CodeInternal, "invalid response: %v", err)
 		}
 		if e.Error.Code != "" {
 			return e.apiError()
@@ -301,7 +301,7 @@
 // isTransient reports whether a failed read may be retried.
 func isTransient(err error) bool {
 	switch apierr.From(err).Code {
-	case apierr.CodeNotOwner, apierr.CodeLogDown, apierr.CodeNotRun, apierr.CodeOutcomeUnknown, apierr.CodeRateLimited:
+	case apierr.CodeNotOwner, apierr.CodeLogUnavailable, apierr.CodeNotRun, apierr.CodeOutcomeUnknown, apierr.CodeRateLimited:
 		return true
 	}
 	return false
--- a/cmd/pumice-bench/main.go
+++ b/cmd/pumice-bench/main.go
@@ -44,9 +44,9 @@
 	if p.Subcommand() == nil {
 		p.Fail("a subcommand is required: load, path or ledger")
 	}
-	ctx, cancel := daemon.Signals()
+	ctx, cancel := daemon.StopContext()
 	defer cancel()
-	daemon.Exit(os.Stderr, func() error {
+	daemon.Main(os.Stderr, func() error {
 		if a.Load != nil {
 			return runLoad(a.Load)
 		}
@@ -59,13 +59,13 @@
 
 func runLoad(cmd *loadCmd) error {
 	var all []load.Outcome
-	for _, shape := range []load.Shape{load.Guild, load.Ffitiad, load.Grown, load.Large} {
-		for _, policy := range []load.Policy{load.Admit, load.Part, load.Seats, load.Alone, load.Forward} {
+	for _, shape := range []load.Scenario{load.Fleet9, load.Fleet18, load.Fleet56, load.Fleet180} {
+		for _, policy := range []load.Policy{load.RefuseLate, load.PartialReports, load.AllReports, load.NoReports, load.NaiveForwarder} {
 			all = append(all, load.Run(shape, policy, cmd.Seed))
 		}
 		noBatch := shape
-		noBatch.Items = 0
-		all = append(all, load.Run(noBatch, load.Seats, cmd.Seed))
+		noBatch.ItemRate = 0
+		all = append(all, load.Run(noBatch, load.AllReports, cmd.Seed))
 	}
 	if cmd.Plot != "" {
 		if err := load.Plot(all, cmd.Plot); err != nil {
@@ -91,9 +91,9 @@
 	}
 	for _, line := range l.Lines {
 		fmt.Printf("%-45s %8.0f items/s %9.2f appends/1000 items %8.1f log bytes/item\n",
-			line.Name, line.ItemsPerSecond, line.AppendsPer1000, line.LogBytesPer)
+			line.Name, line.ItemsPerSecond, line.AppendsPer1000Items, line.LogBytesPerItem)
 	}
-	fmt.Printf("memory of a completed item: %.2f bytes, naive %.0f bytes\n", l.MemoryPer, l.NaiveMemoryPer)
+	fmt.Printf("memory of a completed item: %.2f bytes, naive %.0f bytes\n", l.MemoryBytesPerItem, l.NaiveMemoryBytesPerItem)
 	fmt.Printf("takeover with a million items: %.2f s from the first record, %.2f s from a snapshot\n", l.ReplayAllSeconds, l.ReplaySnapshotSeconds)
 	return nil
 }
@@ -107,8 +107,8 @@
 		return json.NewEncoder(os.Stdout).Encode(p)
 	}
 	for _, l := range p.Lines {
-		fmt.Printf("%-25s p50 %6.3f ms  p99 %6.3f ms  %4.0f us of CPU time per request, all processes\n", l.Name, l.P50Ms, l.P99Ms, l.CPUPerCall)
+		fmt.Printf("%-25s p50 %6.3f ms  p99 %6.3f ms  %4.0f us of CPU time per request, all processes\n", l.Name, l.P50Ms, l.P99Ms, l.CPUMicrosPerRequest)
 	}
-	fmt.Printf("added at %d requests/s: p50 %.3f ms, p99 %.3f ms; noise between the direct runs %.3f ms\n", p.Rate, p.AddedP50Ms, p.AddedP99Ms, p.NoiseP50Ms)
+	fmt.Printf("added at %d requests/s: p50 %.3f ms, p99 %.3f ms; noise between the direct runs %.3f ms\n", p.RequestsPerSecond, p.AddedP50Ms, p.AddedP99Ms, p.NoiseP50Ms)
 	return nil
 }
--- a/cmd/pumice-entry/main.go
+++ b/cmd/pumice-entry/main.go
@@ -22,11 +22,11 @@
 	var a args
 	arg.MustParse(&a)
 	var set settings.Entry
-	daemon.Exit(os.Stderr, func() error {
+	daemon.Main(os.Stderr, func() error {
 		if err := settings.Load(a.Settings, &set); err != nil {
 			return err
 		}
-		stop, cancel := daemon.Signals()
+		stop, cancel := daemon.StopContext()
 		defer cancel()
 		return daemon.RunEntry(stop, &set)
 	})
--- a/cmd/pumice/limits.go
+++ b/cmd/pumice/limits.go
@@ -30,7 +30,7 @@
 	fmt.Printf("configuration confirmed %.1f s ago\n\nlimits granted by this entry:\n", limits.ConfirmedSecondsAgo)
 	err := printTable("WORKSPACE\tSHARE\tRATE\tLEFT\tDENIED", func(w *tabwriter.Writer) {
 		for _, g := range limits.Grants {
-			printRow(w, g.Workspace, g.Share, fmt.Sprintf("%.1f", g.Rate), fmt.Sprintf("%.1f", g.Left), fmt.Sprintf("%.1f", g.Denied))
+			printRow(w, g.Workspace, g.Share, fmt.Sprintf("%.1f", g.Rate), fmt.Sprintf("%.1f", g.Remaining), fmt.Sprintf("%.1f", g.Denied))
 		}
 	})
 	if err != nil {
--- a/cmd/pumice/main.go
+++ b/cmd/pumice/main.go
@@ -126,9 +126,9 @@
 	if p.Subcommand() == nil {
 		p.Fail("a subcommand is required")
 	}
-	ctx, cancel := daemon.Signals()
+	ctx, cancel := daemon.StopContext()
 	defer cancel()
-	daemon.Exit(os.Stderr, func() error { return run(ctx, a) })
+	daemon.Main(os.Stderr, func() error { return run(ctx, a) })
 }
 
 func run(ctx context.Context, a args) error {
@@ -228,7 +228,7 @@
 	}
 	var headers []client.Header
 	if cmd.IdempotencyKey != "" {
-		headers = append(headers, client.Header{Name: entry.HeaderKey, Value: cmd.IdempotencyKey})
+		headers = append(headers, client.Header{Name: entry.HeaderIdempotencyKey, Value: cmd.IdempotencyKey})
 	}
 	b, err := c.Submit(ctx, id, "/v1/completions", cmd.Window, headers...)
 	if err != nil {
@@ -337,8 +337,8 @@
 	for _, e := range p.Effects {
 		fmt.Println("  effect:", e)
 	}
-	if len(p.Missing) > 0 {
-		fmt.Println("  still needs confirmation from:", strings.Join(p.Missing, ", "))
+	if len(p.MissingConfirms) > 0 {
+		fmt.Println("  still needs confirmation from:", strings.Join(p.MissingConfirms, ", "))
 	}
 	if p.Status == config.Accepted {
 		fmt.Printf("  accepted at offset %d; in force everywhere: %t\n", p.Decided, p.InForce)
@@ -376,7 +376,7 @@
 	if cmd.JSON {
 		return printJSON(s)
 	}
-	fmt.Printf("%s: ready %t, config offset %d, %d workspaces, behind: %s\n", s.Node, s.Ready, s.Config, s.Workspaces, strings.Join(s.Laggards, ", "))
+	fmt.Printf("%s: ready %t, config offset %d, %d workspaces, behind: %s\n", s.Node, s.Ready, s.ConfigOffset, s.Workspaces, strings.Join(s.Laggards, ", "))
 	return printTable("AGENT\tDATA CENTRE\tSEATS\tRUNNING\tQUEUED\tLEAVING\tMODELS", func(w *tabwriter.Writer) {
 		for _, a := range s.Agents {
 			printRow(w, a.Name, a.DataCentre, a.Seats, a.Running, a.Queued, a.Leaving, strings.Join(a.Models, ","))
--- a/cmd/pumice/quarantine.go
+++ b/cmd/pumice/quarantine.go
@@ -41,7 +41,7 @@
 		}
 		return callProcess(ctx, http.MethodDelete, url+"/"+key.String(), nil)
 	}
-	var all []daemon.HeldRequest
+	var all []daemon.SuspectRequest
 	if err := callProcess(ctx, http.MethodGet, url, &all); err != nil {
 		return err
 	}
--- a/cmd/pumiceford/main.go
+++ b/cmd/pumiceford/main.go
@@ -29,11 +29,11 @@
 func (args) Version() string { return "pumiceford " + version.Version }
 
 func main() {
-	reloads := daemon.Reloads()
+	reloads := daemon.ReloadSignals()
 	var a args
 	parser := arg.MustParse(&a)
-	daemon.Exit(os.Stderr, func() error {
-		stop, cancel := daemon.Signals()
+	daemon.Main(os.Stderr, func() error {
+		stop, cancel := daemon.StopContext()
 		defer cancel()
 		switch {
 		case a.Entry != nil:
--- a/config/fold.go
+++ b/config/fold.go
@@ -116,7 +116,7 @@
 	}
 	s.next = rec.Offset + 1
 	env, inc, ok := oplog.Decode(rec.Data)
-	if !ok || !s.dedupe.Fresh(inc, env.GetSeq(), rec.Offset) {
+	if !ok || !s.dedupe.Accept(inc, env.GetSeq(), rec.Offset) {
 		return
 	}
 	for _, e := range env.GetEntries() {
--- a/config/follower.go
+++ b/config/follower.go
@@ -54,7 +54,7 @@
 		log:       log,
 		inc:       inc,
 		bootstrap: bootstrap,
-		logger:    logger.Part("config"),
+		logger:    logger.WithPrefix("config"),
 		state:     NewState(bootstrap),
 		changed:   make(chan struct{}),
 		writeSem:  make(chan struct{}, 1),
@@ -176,8 +176,8 @@
 
 // catchUp reads to the tail. writeSem must be held.
 func (f *Follower) catchUp(ctx context.Context) error {
-	f.stream.Skip(f.Offset())
-	return f.stream.Catchup(ctx)
+	f.stream.SeekTo(f.Offset())
+	return f.stream.ReadToTail(ctx)
 }
 
 // fetchFromPeers fetches and applies the records of a peer that is ahead.
@@ -329,7 +329,7 @@
 
 // write appends one entry and reads it back. writeSem must be held.
 func (f *Follower) write(ctx context.Context, entry *wire.Entry) error {
-	f.stream.Skip(f.Offset())
+	f.stream.SeekTo(f.Offset())
 	_, err := f.stream.Write(ctx, 0, []*wire.Entry{entry})
 	return err
 }
@@ -356,25 +356,25 @@
 
 // PlanView is the form of a plan in operators' responses.
 type PlanView struct {
-	ID        string   `json:"id"`
-	Author    string   `json:"author"`
-	Scope     string   `json:"scope"`
-	Why       string   `json:"why,omitempty"`
-	Base      uint64   `json:"base"`
-	Offset    uint64   `json:"offset"`
-	Status    Status   `json:"status"`
-	Reason    string   `json:"reason,omitempty"`
-	Decided   uint64   `json:"decided,omitempty"`
-	Changes   []string `json:"changes"`
-	Missing   []string `json:"missing_confirms,omitempty"`
-	Confirmed []string `json:"confirmed,omitempty"`
-	Digest    string   `json:"digest"`
+	ID              string   `json:"id"`
+	Author          string   `json:"author"`
+	Scope           string   `json:"scope"`
+	Why             string   `json:"why,omitempty"`
+	Base            uint64   `json:"base"`
+	Offset          uint64   `json:"offset"`
+	Status          Status   `json:"status"`
+	Reason          string   `json:"reason,omitempty"`
+	Decided         uint64   `json:"decided,omitempty"`
+	Changes         []string `json:"changes"`
+	MissingConfirms []string `json:"missing_confirms,omitempty"`
+	Confirmed       []string `json:"confirmed,omitempty"`
+	Digest          string   `json:"digest"`
 }
 
 func planView(s *State, p *Plan) PlanView {
 	v := PlanView{
 		ID: p.ID.String(), Author: p.Author, Scope: p.Scope, Why: p.Why, Base: p.Base, Offset: p.Offset,
-		Status: p.Status, Reason: p.Reason, Decided: p.Decided, Missing: s.MissingConfirms(p), Confirmed: p.Confirmed,
+		Status: p.Status, Reason: p.Reason, Decided: p.Decided, MissingConfirms: s.MissingConfirms(p), Confirmed: p.Confirmed,
 	}
 	v.Digest = hex.EncodeToString(p.Digest())
 	for _, i := range p.Intents {
@@ -487,7 +487,7 @@
 // mayBeAppended means that the outcome of the append is unknown.
 func logUnavailable(mayBeAppended bool) error {
 	if mayBeAppended {
-		return apierr.Unknown(apierr.CodeLogDown, "the platform's log does not answer; ask for the plan's status before trying again").After(time.Second)
+		return apierr.MaybeExecuted(apierr.CodeLogUnavailable, "the platform's log does not answer; ask for the plan's status before trying again").WithRetryAfter(time.Second)
 	}
-	return apierr.New(apierr.CodeLogDown, "the platform's log does not answer").After(time.Second)
+	return apierr.New(apierr.CodeLogUnavailable, "the platform's log does not answer").WithRetryAfter(time.Second)
 }
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -65,7 +65,7 @@
 		return err
 	}
 	log := set.Log.Logger()
-	agentLog := log.Part("agent")
+	agentLog := log.WithPrefix("agent")
 	if tlsConf == nil {
 		agentLog.Warn("no TLS settings; peer connections are restricted to loopback")
 	}
@@ -84,13 +84,13 @@
 		Log:       log, Metrics: series,
 	})
 	f := config.NewFollower(plat, inc, config.Operator{}, log)
-	a.SetConfig(f)
+	a.SetFollower(f)
 	linkCfg := link.Config{Node: set.Name, Incarnation: inc, TLS: tlsConf, Status: a.Status, Handle: a.Handle}
 	configPeers := agent.NewConfigPeers(plat, linkCfg)
 	f.SetFetch(configPeers.Fetch)
 	g.Go(func() error { configPeers.Run(ctx); return nil })
 	g.Go(func() error { f.Run(ctx); return nil })
-	g.Go(func() error { a.Follow(ctx, f, set.Deployment, plat, plat); return nil })
+	g.Go(func() error { a.FollowConfig(ctx, f, set.Deployment, plat, plat); return nil })
 	g.Go(func() error {
 		return link.Serve(ctx, peers, linkCfg)
 	})
@@ -103,7 +103,7 @@
 		agentLog.Info("stopping")
 		stopCtx, cancelStop := context.WithTimeout(context.Background(), durationOr(set.StopWithin, defaultStopWithin))
 		defer cancelStop()
-		logStopped(agentLog, a.Leave(stopCtx))
+		logStopped(agentLog, a.Shutdown(stopCtx))
 		time.Sleep(connFlushDelay)
 		return nil
 	})
--- a/daemon/agentlinks.go
+++ b/daemon/agentlinks.go
@@ -21,12 +21,12 @@
 const maxWatchedTargets = 16
 
 // agentLinks maintains the sessions to the agents beside the targets. It implements
-// runner.Seats and gateway.Witness.
+// runner.Seats and gateway.FailureNotifier.
 type agentLinks struct {
 	cfg     link.Config
 	addr    func(target string) string
 	view    *fleet.View
-	tracker *quarantine.Keeper
+	tracker *quarantine.Tracker
 	// onFreeSlot is called when an agent reports that its target has a free slot for batch.
 	onFreeSlot func()
 
@@ -41,7 +41,7 @@
 	lastReport time.Time // when a failure of the target was last reported; guarded by agentLinks.mu
 }
 
-func newAgentLinks(cfg link.Config, addr func(string) string, view *fleet.View, tracker *quarantine.Keeper) *agentLinks {
+func newAgentLinks(cfg link.Config, addr func(string) string, view *fleet.View, tracker *quarantine.Tracker) *agentLinks {
 	return &agentLinks{cfg: cfg, addr: addr, view: view, tracker: tracker, onFreeSlot: func() {}, links: make(map[string]*agentLink)}
 }
 
@@ -80,7 +80,7 @@
 	l := &agentLink{target: in.Addr, peer: link.NewPeer(a.cfg, a.addr(in.Addr)), stop: cancel}
 	go quarantine.Follow(ctx, l.peer, a.tracker)
 	go seats.Watch(ctx, l.peer, in, func(load *wire.Load) {
-		a.view.Table(func(t *balance.Table) { t.Note(time.Now(), in.ID, loadReport(load)) })
+		a.view.WithTable(func(t *balance.Table) { t.UpdateLoad(time.Now(), in.ID, loadReport(load)) })
 		if load.GetRoom()+load.GetSpare() > 0 {
 			a.onFreeSlot()
 		}
@@ -98,7 +98,7 @@
 	}
 	seat, load, err := seats.Acquire(ctx, l.peer, in, due)
 	if load != nil {
-		a.view.Table(func(t *balance.Table) { t.Note(time.Now(), in.ID, loadReport(load)) })
+		a.view.WithTable(func(t *balance.Table) { t.UpdateLoad(time.Now(), in.ID, loadReport(load)) })
 	}
 	return seat, err
 }
@@ -107,9 +107,9 @@
 // agent. More reports add nothing: the agent counts entries, not failures.
 const faultReportInterval = 500 * time.Millisecond
 
-// Tell reports to the agent beside a target that a request failed there. It does not
-// block. It implements gateway.Witness.
-func (a *agentLinks) Tell(id string) {
+// NotifyFailure reports to the agent beside a target that a request failed there. It does not
+// block. It implements gateway.FailureNotifier.
+func (a *agentLinks) NotifyFailure(id string) {
 	now := time.Now()
 	a.mu.Lock()
 	l := a.links[id]
@@ -119,11 +119,11 @@
 	}
 	l.lastReport = now
 	a.mu.Unlock()
-	go seats.TellFault(l.peer, a.cfg.Node)
+	go seats.ReportFailure(l.peer, a.cfg.Node)
 }
 
 // loadReport converts an agent's load message to a balance.Report.
 func loadReport(l *wire.Load) balance.Report {
 	return balance.Report{Active: int(l.GetActive()), Queued: int(l.GetQueued()), Batch: int(l.GetBatch()), Slots: int(l.GetSlots()),
-		Room: int(l.GetRoom()), Spare: int(l.GetSpare()), Silent: l.GetSilent(), Witnesses: int(l.GetWitnesses())}
+		FreeSeats: int(l.GetRoom()), UrgentSeats: int(l.GetSpare()), Silent: l.GetSilent(), FailingEntries: int(l.GetWitnesses())}
 }
--- a/daemon/background.go
+++ b/daemon/background.go
@@ -11,10 +11,10 @@
 
 // followStore follows the configuration and the registry until ctx ends.
 func (n *entryNode) followStore(ctx context.Context) {
-	registry := store.NewFollower(n.store, n.deps.Registry, n.view.TargetSink(), store.FollowSettings{
+	registry := store.NewFollower(n.store, n.deps.Registry, n.view.TargetSink(), store.FollowerConfig{
 		Wait: storeReadWait, Pause: registryPause,
-		OnTrouble: n.view.RegistryAway,
-		OnContact: n.view.RegistryBack,
+		OnFailure:  n.view.RegistryUnavailable,
+		OnRecovery: n.view.RegistryRecovered,
 	})
 	go registry.Run(ctx)
 	n.config.Run(ctx)
@@ -49,13 +49,13 @@
 // cannot be read at start-up. Afterwards it saves changes of the fleet to the copies, on
 // the process that runs copyPartition.
 func (n *entryNode) maintainCopies(ctx context.Context) {
-	n.view.Await(ctx, registryStartWait)
+	n.view.WaitReady(ctx, registryStartWait)
 	for !n.view.Ready() && ctx.Err() == nil {
 		n.copies.Load(ctx)
-		n.view.Await(ctx, fetchInterval)
+		n.view.WaitReady(ctx, fetchInterval)
 	}
 	for wait.For(ctx, copyInterval) == nil {
-		if n.runner.Holds(copyPartition) {
+		if n.runner.HasPartition(copyPartition) {
 			n.copies.Save(ctx, time.Now())
 		}
 	}
@@ -67,7 +67,7 @@
 		n.metrics.Count("group_failures")
 		return // the known peers stay
 	}
-	n.routes.SetOwners(n.deps.Jobs, owners)
+	n.routes.SetOwners(n.deps.JobsTopic, owners)
 	var addrs []string
 	for _, o := range owners {
 		addrs = append(addrs, o.Member)
@@ -79,10 +79,10 @@
 func (n *entryNode) expireTargets(ctx context.Context) {
 	for wait.For(ctx, expireInterval) == nil {
 		now := time.Now()
-		n.view.Expire(now)
-		n.metrics.Gauge("partitions_followed", float64(n.jobs.Followed()))
-		n.metrics.Gauge("caller_reads_per_second", n.jobs.CallerReadRate())
-		n.metrics.Gauge("catalog_seconds", n.view.CatalogAge(now).Seconds())
+		n.view.ExpireTargets(now)
+		n.metrics.SetGauge("partitions_followed", float64(n.jobs.FollowedPartitions()))
+		n.metrics.SetGauge("caller_reads_per_second", n.jobs.CallerReadRate())
+		n.metrics.SetGauge("catalog_seconds", n.view.CatalogAge(now).Seconds())
 	}
 }
 
@@ -93,8 +93,8 @@
 		if err := n.access.Renew(ctx); err != nil {
 			n.metrics.Count("configuration_not_confirmed")
 		}
-		if age, ok := n.access.Age(); ok {
-			n.metrics.Gauge("configuration_confirmed_seconds_ago", age.Seconds())
+		if age, ok := n.access.ConfigAge(); ok {
+			n.metrics.SetGauge("configuration_confirmed_seconds_ago", age.Seconds())
 		}
 	}
 }
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -37,8 +37,8 @@
 	return time.Duration(d)
 }
 
-// Signals returns a context that ends at the first SIGTERM or SIGINT.
-func Signals() (context.Context, context.CancelFunc) {
+// StopContext returns a context that ends at the first SIGTERM or SIGINT.
+func StopContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
@@ -106,7 +106,7 @@
 		Logger:  log,
 		Metrics: metrics.New(set.Name),
 	})
-	entryLog := log.Part("entry")
+	entryLog := log.WithPrefix("entry")
 	if tlsConf == nil {
 		entryLog.Warn("no TLS settings; peer connections are restricted to loopback")
 	}
--- a/daemon/exit.go
+++ b/daemon/exit.go
@@ -6,9 +6,9 @@
 	"os"
 )
 
-// Exit runs a command. If the command fails, the error is written to w and the process
+// Main runs a command. If the command fails, the error is written to w and the process
 // exits with status 1.
-func Exit(w io.Writer, run func() error) {
+func Main(w io.Writer, run func() error) {
 	if err := run(); err != nil {
 		// If the error cannot be written either, the exit status still reports it.
 		_, _ = fmt.Fprintf(w, "error: %v\n", err)
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -47,36 +47,36 @@
 	Retain(all []targets.Instance)
 }
 
-// GatewayParts holds what an entry takes from the users' platform: its store, its topics,
+// GatewayDeps holds what an entry takes from the users' platform: its store, its topics,
 // its wire formats and its HTTP handlers.
-type GatewayParts struct {
-	Store      store.Client
-	Decoder    fleet.Decoder
-	Catalog    store.Partition
-	Registry   store.Partition
-	Jobs       string // topic of jobs
-	Progress   string // topic of the progress of unfinished items
-	Copies     string // topic of copies of the fleet
-	Quarantine string // topic of requests that crash their targets
-	Shards     string // topic of the shard owners, which grant requests to rate-limited workspaces
-	Sender     TargetSender
+type GatewayDeps struct {
+	Store           store.Client
+	Decoder         fleet.Decoder
+	Catalog         store.Partition
+	Registry        store.Partition
+	JobsTopic       string // topic of jobs
+	ProgressTopic   string // topic of the progress of unfinished items
+	CopiesTopic     string // topic of copies of the fleet
+	QuarantineTopic string // topic of requests that crash their targets
+	ShardsTopic     string // topic of the shard owners, which grant requests to rate-limited workspaces
+	Sender          TargetSender
 	// ItemHeader converts the headers of a batch item to the headers of its call.
 	ItemHeader func(item map[string]string) map[string][]string
 	// Front returns the handler of the callers' listener.
-	Front func(f Front) http.Handler
+	FrontHandler func(f FrontConfig) http.Handler
 	// Ready returns the handler of the readiness probe.
-	Ready func(ready func() bool) http.Handler
+	ReadyHandler func(ready func() bool) http.Handler
 }
 
-// Front holds what the handler of the callers' listener works with.
-type Front struct {
-	Gateway *gateway.Gateway
-	Access  *access.Gate
-	Limiter *ratelimit.Limiter
-	Jobs    jobroute.Service
-	Catalog func() *catalog.Catalog
-	Limits  func() catalog.Limits
-	Leaving func() bool
+// FrontConfig holds what the handler of the callers' listener works with.
+type FrontConfig struct {
+	Gateway  *gateway.Gateway
+	Access   *access.Authenticator
+	Limiter  *ratelimit.Limiter
+	Jobs     jobroute.Service
+	Catalog  func() *catalog.Catalog
+	Limits   func() catalog.Limits
+	Stopping func() bool
 }
 
 // Intervals and bounds of an entry.
@@ -125,11 +125,11 @@
 // entryNode is one running entry.
 type entryNode struct {
 	set        *settings.Gateway
-	deps       GatewayParts
+	deps       GatewayDeps
 	log        logging.Logger
 	metrics    *metrics.Set
 	view       *fleet.View
-	ring       *peers.Ring
+	ring       *peers.Pool
 	store      *store.Failover
 	jobs       *jobstore.Store
 	routes     *jobroute.Router
@@ -137,11 +137,11 @@
 	agentLinks *agentLinks
 	gateway    *gateway.Gateway
 	config     *store.Follower // of the configuration
-	access     *access.Gate
-	shards     *shards.Keeper
+	access     *access.Authenticator
+	shards     *shards.Manager
 	granter    *ratelimit.Granter
 	limiter    *ratelimit.Limiter
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Tracker
 	archive    *quarantine.Archive
 	copies     *fleet.Copies
 	tlsConf    *tls.Config
@@ -149,12 +149,12 @@
 }
 
 // RunGateway runs an entry on the users' platform until stop ends.
-func RunGateway(stop context.Context, reloads <-chan os.Signal, file string, set *settings.Gateway, deps GatewayParts) error {
+func RunGateway(stop context.Context, reloads <-chan os.Signal, file string, set *settings.Gateway, deps GatewayDeps) error {
 	out := logging.NewAsync(os.Stdout)
 	defer out.Close(logFlushTimeout)
 	limitMemory(set.MemoryMB)
 	base := logging.New(logging.Settings{Level: set.Log.Level, Format: set.Log.Format, Writer: out})
-	redirectStdLog(base.Part("http"))
+	redirectStdLog(base.WithPrefix("http"))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	n, err := newEntryNode(ctx, set, deps, base)
@@ -165,53 +165,53 @@
 	return n.run(ctx, cancel, stop, reloads, file)
 }
 
-func newEntryNode(ctx context.Context, set *settings.Gateway, deps GatewayParts, base logging.Logger) (*entryNode, error) {
+func newEntryNode(ctx context.Context, set *settings.Gateway, deps GatewayDeps, base logging.Logger) (*entryNode, error) {
 	tlsConf, err := set.TLS.Config()
 	if err != nil {
 		return nil, err
 	}
 	ms := metrics.New(set.Name)
-	deps.Store = store.NewObserved(deps.Store, func(call, outcome string, took time.Duration) {
+	deps.Store = store.NewInstrumented(deps.Store, func(call, outcome string, took time.Duration) {
 		ms.Count("store_" + call + "_" + outcome)
 		ms.Observe("store_"+call, "", took)
 	})
-	n := &entryNode{set: set, deps: deps, tlsConf: tlsConf, log: base.Part("entry"), metrics: ms}
-	n.view = fleet.NewView(deps.Decoder, xxhash.Sum64String(set.Name), base.Part("fleet"), n.metrics)
+	n := &entryNode{set: set, deps: deps, tlsConf: tlsConf, log: base.WithPrefix("entry"), metrics: ms}
+	n.view = fleet.NewView(deps.Decoder, xxhash.Sum64String(set.Name), base.WithPrefix("fleet"), n.metrics)
 	linkCfg := link.Config{Node: set.Name, Incarnation: oplog.NewIncarnation(), TLS: tlsConf, Dial: netx.Dial}
-	n.ring = peers.NewRing(set.Peers, linkCfg, set.Seeds)
-	n.store = store.NewFailover(deps.Store, n.ring.Ways)
-	n.config = store.NewFollower(n.store, deps.Catalog, n.view.CatalogSink(), store.FollowSettings{
+	n.ring = peers.NewPool(set.Peers, linkCfg, set.Seeds)
+	n.store = store.NewFailover(deps.Store, n.ring.StorePeers)
+	n.config = store.NewFollower(n.store, deps.Catalog, n.view.CatalogSink(), store.FollowerConfig{
 		Wait: configReadWait(set), Clock: boottime.Now,
-		OnTrouble: func(err error) { n.storeFailed("configuration", err) },
-		OnContact: func(d time.Duration) { n.storeRecovered("configuration", d) },
+		OnFailure:  func(err error) { n.storeFailed("configuration", err) },
+		OnRecovery: func(d time.Duration) { n.storeRecovered("configuration", d) },
 	})
-	n.access = access.NewGate(access.Config{
+	n.access = access.NewAuthenticator(access.Config{
 		Catalog: n.view.Catalog, Source: n.config, KeyLease: time.Duration(set.KeyLease), Clock: boottime.Now,
 	})
-	n.copies = fleet.NewCopies(n.store, deps.Copies, set.Store.Partitions, n.view, base.Part("fleet"))
+	n.copies = fleet.NewCopies(n.store, deps.CopiesTopic, set.Store.Partitions, n.view, base.WithPrefix("fleet"))
 	n.jobs = jobstore.New(ctx, n.store, jobstore.Settings{
-		Topic: deps.Jobs, ProgressTopic: deps.Progress, Partitions: set.Store.Partitions, CallBytes: set.Store.CallBytes,
-		Keep: time.Duration(set.KeepResults),
-	}, base.Part("jobs"))
+		Topic: deps.JobsTopic, ProgressTopic: deps.ProgressTopic, Partitions: set.Store.Partitions, MaxAppendBytes: set.Store.CallBytes,
+		Retention: time.Duration(set.KeepResults),
+	}, base.WithPrefix("jobs"))
 	n.routes = jobroute.New(jobroute.Config{
-		Self: set.Peers, Local: n.jobs, StoreAway: n.store.Away, PartitionOf: n.jobs.PartitionOf, Remote: peers.NewCaller(linkCfg),
-		Log: base.Part("jobs"), Metrics: n.metrics,
+		Self: set.Peers, Local: n.jobs, StoreUnavailable: n.store.Unreachable, PartitionOf: n.jobs.PartitionOf, Remote: peers.NewJobClient(linkCfg),
+		Log: base.WithPrefix("jobs"), Metrics: n.metrics,
 	})
-	n.quarantine = quarantine.NewKeeper(quarantine.Config{Prober: deps.Sender, Log: base.Part("quarantine"), Metrics: n.metrics})
-	n.archive = quarantine.NewArchive(n.quarantine, n.store, deps.Quarantine, set.Store.Partitions, base.Part("quarantine"))
+	n.quarantine = quarantine.NewTracker(quarantine.Config{Prober: deps.Sender, Log: base.WithPrefix("quarantine"), Metrics: n.metrics})
+	n.archive = quarantine.NewArchive(n.quarantine, n.store, deps.QuarantineTopic, set.Store.Partitions, base.WithPrefix("quarantine"))
 	n.agentLinks = newAgentLinks(linkCfg, set.AgentAddr, n.view, n.quarantine)
 	n.runner = runner.New(runner.Config{
 		Member: set.Peers, Group: jobGroup, Store: n.jobs, Groups: n.store, View: n.view, Sender: deps.Sender,
-		Seats: n.agentLinks, Quarantine: n.quarantine, Log: base.Part("batch"), Metrics: n.metrics,
+		Seats: n.agentLinks, Quarantine: n.quarantine, Log: base.WithPrefix("batch"), Metrics: n.metrics,
 		Headers: deps.ItemHeader, MaxRunning: maxRunningItems,
 	})
 	n.agentLinks.onFreeSlot = n.runner.Wake
-	n.setUpRateLimits(linkCfg, base.Part("limits"))
+	n.setUpRateLimits(linkCfg, base.WithPrefix("limits"))
 	n.gateway = gateway.New(gateway.Config{
-		View: n.view, Sender: deps.Sender, Reserver: deps.Sender, Witness: n.agentLinks, Quarantine: n.quarantine,
-		Log: base.Part("online"), Metrics: n.metrics,
+		View: n.view, Sender: deps.Sender, Reserver: deps.Sender, FailureNotifier: n.agentLinks, Quarantine: n.quarantine,
+		Log: base.WithPrefix("online"), Metrics: n.metrics,
 	})
-	n.view.OnChange(func(all []targets.Instance) {
+	n.view.OnTargetChange(func(all []targets.Instance) {
 		deps.Sender.Retain(all)
 		n.agentLinks.update(ctx, all)
 	})
@@ -232,15 +232,15 @@
 	if err != nil {
 		return err
 	}
-	front := n.httpServer(n.deps.Front(Front{Gateway: n.gateway, Access: n.access, Limiter: n.limiter, Jobs: n.routes, Catalog: n.view.Catalog, Limits: n.limits, Leaving: n.stopping.Load}))
+	front := n.httpServer(n.deps.FrontHandler(FrontConfig{Gateway: n.gateway, Access: n.access, Limiter: n.limiter, Jobs: n.routes, Catalog: n.view.Catalog, Limits: n.limits, Stopping: n.stopping.Load}))
 	drainer := newConnDrainer()
 	front.ConnState = drainer.trackState
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return serve(ctx, front, listeners[0]) })
-	g.Go(func() error { return serve(ctx, n.httpServer(n.deps.Ready(n.ready)), listeners[1]) })
+	g.Go(func() error { return serve(ctx, n.httpServer(n.deps.ReadyHandler(n.ready)), listeners[1]) })
 	peerServer := &peers.Server{
-		Store: n.deps.Store, View: n.view, Jobs: &jobroute.Server{Local: n.jobs, StoreAway: n.store.Away, Reaches: n.store.Reaches},
-		Granter: n.granter, Acting: n.shards.Active,
+		Store: n.deps.Store, View: n.view, Jobs: &jobroute.Server{Local: n.jobs, StoreUnavailable: n.store.Unreachable, HasDirectStore: n.store.DirectReachable},
+		Granter: n.granter, ActingSince: n.shards.Active,
 	}
 	g.Go(func() error {
 		return link.Serve(ctx, listeners[2], link.Config{Node: n.set.Name, Handle: peerServer.Handle, TLS: n.tlsConf})
--- a/daemon/process.go
+++ b/daemon/process.go
@@ -75,7 +75,7 @@
 }
 
 // opsHandler serves the metrics of a process and its quarantined requests.
-func opsHandler(ms *metrics.Set, k *quarantine.Keeper) *http.ServeMux {
+func opsHandler(ms *metrics.Set, k *quarantine.Tracker) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(ms.Registry, promhttp.HandlerOpts{}))
 	quarantineHandler(mux, k)
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -8,8 +8,8 @@
 	"pumiceford/quarantine"
 )
 
-// HeldRequest describes to operators a request that crashes of targets are attributed to.
-type HeldRequest struct {
+// SuspectRequest describes to operators a request that crashes of targets are attributed to.
+type SuspectRequest struct {
 	Key     string    `json:"key"`
 	Held    bool      `json:"held"`
 	Until   time.Time `json:"until"`   // end of the hold, if the request is held
@@ -18,11 +18,11 @@
 
 // quarantineHandler registers the endpoints that list the requests to which crashes are
 // attributed, and that clear one of them.
-func quarantineHandler(mux *http.ServeMux, k *quarantine.Keeper) {
+func quarantineHandler(mux *http.ServeMux, k *quarantine.Tracker) {
 	mux.HandleFunc("GET /quarantine", func(w http.ResponseWriter, _ *http.Request) {
-		all := []HeldRequest{}
-		for _, c := range k.Cases() {
-			r := HeldRequest{Key: c.Key.String(), Held: c.Held, Until: c.Until}
+		all := []SuspectRequest{}
+		for _, c := range k.Suspects() {
+			r := SuspectRequest{Key: c.Key.String(), Held: c.Held, Until: c.Until}
 			for _, m := range c.Crashes {
 				r.Crashed = append(r.Crashed, m.Target.ID)
 			}
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -21,10 +21,10 @@
 // key is answered with 400, a key without a record with 404.
 func TestListAndClearHeldRequests(t *testing.T) {
 	ms := metrics.New("n")
-	k := quarantine.NewKeeper(quarantine.Config{Prober: crashedProber{}, Metrics: ms})
+	k := quarantine.NewTracker(quarantine.Config{Prober: crashedProber{}, Metrics: ms})
 	key := quarantine.NewKey("", "POST", "h", "/", nil)
 	for _, id := range []string{"a", "b", "c"} {
-		k.Broke(t.Context(), quarantine.Run{Key: key, Target: targets.Instance{ID: id}})
+		k.RecordBroken(t.Context(), quarantine.Run{Key: key, Target: targets.Instance{ID: id}})
 	}
 	h := opsHandler(ms, k)
 	call := func(method, path string) *httptest.ResponseRecorder {
@@ -32,7 +32,7 @@
 		h.ServeHTTP(w, httptest.NewRequest(method, path, nil))
 		return w
 	}
-	var all []HeldRequest
+	var all []SuspectRequest
 	if err := json.Unmarshal(call("GET", "/quarantine").Body.Bytes(), &all); err != nil {
 		t.Fatal(err)
 	}
--- a/daemon/reload.go
+++ b/daemon/reload.go
@@ -9,11 +9,11 @@
 	"pumiceford/logging"
 )
 
-// Reloads starts catching SIGHUP and returns the channel on which the signals arrive. An
+// ReloadSignals starts catching SIGHUP and returns the channel on which the signals arrive. An
 // uncaught SIGHUP terminates the process, so a command calls this first, before it reads
 // its settings. The channel buffers one signal, so a reload requested during start-up is
 // not lost.
-func Reloads() <-chan os.Signal {
+func ReloadSignals() <-chan os.Signal {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	return hup
--- a/daemon/reload_test.go
+++ b/daemon/reload_test.go
@@ -16,7 +16,7 @@
 // process with status 129. That happens if the signal is caught only once the loop that
 // waits for it runs.
 func TestReloadDuringStartupIsKept(t *testing.T) {
-	signals := Reloads()
+	signals := ReloadSignals()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
--- a/daemon/seatagent.go
+++ b/daemon/seatagent.go
@@ -18,7 +18,7 @@
 )
 
 // RunSeatAgent runs an agent beside a target until stop ends.
-func RunSeatAgent(stop context.Context, reloads <-chan os.Signal, file string, set *settings.SeatAgent, gauge seats.Gauge) error {
+func RunSeatAgent(stop context.Context, reloads <-chan os.Signal, file string, set *settings.SeatAgent, gauge seats.LoadSource) error {
 	tlsConf, err := set.TLS.Config()
 	if err != nil {
 		return err
@@ -30,13 +30,13 @@
 	out := logging.NewAsync(os.Stdout)
 	defer out.Close(logFlushTimeout)
 	limitMemory(set.MemoryMB)
-	log := logging.New(logging.Settings{Level: set.Log.Level, Format: set.Log.Format, Writer: out}).Part("agent")
+	log := logging.New(logging.Settings{Level: set.Log.Level, Format: set.Log.Format, Writer: out}).WithPrefix("agent")
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
 	ms := metrics.New(set.Name)
-	a := seats.NewAgent(seats.AgentConfig{Name: set.Name, Gauge: gauge, Log: log, Metrics: ms})
-	tracker := quarantine.NewKeeper(quarantine.Config{Log: log.Part("quarantine"), Metrics: ms})
+	a := seats.NewAgent(seats.AgentConfig{Name: set.Name, LoadSource: gauge, Log: log, Metrics: ms})
+	tracker := quarantine.NewTracker(quarantine.Config{Log: log.WithPrefix("quarantine"), Metrics: ms})
 	handle := func(ctx context.Context, class link.Class, call *wire.Call, st *link.Stream) {
 		if call.GetMarks() != nil {
 			tracker.Exchange(ctx, st)
@@ -65,7 +65,7 @@
 		defer cancel()
 		if waitStop(ctx, stop) {
 			log.Info("stopping")
-			a.Leave()
+			a.Drain()
 			_ = wait.For(ctx, connFlushDelay)
 			log.Info("stopped")
 		}
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -188,9 +188,9 @@
 	if err := ops.JSON(ctx, http.MethodPost, "/plans/"+proposed.ID+"/confirm", entry.ConfirmBody{Digest: proposed.Digest}, &plan); err != nil {
 		return proposed, err
 	}
-	for !plan.InForce && len(plan.Missing) == 0 {
+	for !plan.InForce && len(plan.MissingConfirms) == 0 {
 		if err := wait.For(ctx, 50*time.Millisecond); err != nil {
-			return plan, apierr.Executed(apierr.CodeDeadline, "plan confirmed but not in force on %v", plan.Laggards)
+			return plan, apierr.Executed(apierr.CodeDeadlineExceeded, "plan confirmed but not in force on %v", plan.Laggards)
 		}
 		plan = entry.PlanReply{}
 		if err := ops.JSON(ctx, http.MethodGet, "/plans/"+proposed.ID, nil, &plan); err != nil {
@@ -209,7 +209,7 @@
 			return nil
 		}
 		code := apierr.From(err).Code
-		starting := code == apierr.CodeNotRun || code == apierr.CodeNoTarget || code == apierr.CodeLogDown || code == apierr.CodeUnauthorized || code == apierr.CodeOutcomeUnknown
+		starting := code == apierr.CodeNotRun || code == apierr.CodeNoTarget || code == apierr.CodeLogUnavailable || code == apierr.CodeUnauthorized || code == apierr.CodeOutcomeUnknown
 		if !starting || wait.For(ctx, 50*time.Millisecond) != nil {
 			return err
 		}
--- a/dev/openai_test.go
+++ b/dev/openai_test.go
@@ -185,7 +185,7 @@
 		{"not UTF-8", post(c, "/v1/completions", "{\"model\":\"renewal-7b\",\"prompt\":\"\xff\"}"), apierr.CodeBadRequest},
 		{"oversized", post(c, "/v1/completions", `{"model":"renewal-7b","prompt":"`+strings.Repeat("x", entry.MaxPromptBytes)+`"}`), apierr.CodeTooLarge},
 		{"no prompt", post(c, "/v1/completions", `{"model":"renewal-7b"}`), apierr.CodeBadRequest},
-		{"unknown model", post(c, "/v1/completions", `{"model":"none","prompt":"x"}`), apierr.CodeUnknownModel},
+		{"unknown model", post(c, "/v1/completions", `{"model":"none","prompt":"x"}`), apierr.CodeModelNotFound},
 		{"too many tokens", post(c, "/v1/completions", `{"model":"renewal-7b","prompt":"x","max_tokens":1000000}`), apierr.CodeBadRequest},
 		{"bad deadline", post(c, "/v1/completions", `{"model":"renewal-7b","prompt":"x"}`, client.Header{Name: entry.HeaderTimeout, Value: "soon"}), apierr.CodeBadRequest},
 		{"wrong key", post(unknownKey, "/v1/completions", `{"model":"renewal-7b","prompt":"x"}`), apierr.CodeUnauthorized},
@@ -193,7 +193,7 @@
 		{"empty file", upload(""), apierr.CodeBadRequest},
 		{"bad line", upload(item + "\n{"), apierr.CodeBadRequest},
 		{"same id twice", upload(item + "\n" + item), apierr.CodeBadRequest},
-		{"unknown model in a file", upload(`{"custom_id":"a","body":{"model":"none","prompt":"p"}}`), apierr.CodeUnknownModel},
+		{"unknown model in a file", upload(`{"custom_id":"a","body":{"model":"none","prompt":"p"}}`), apierr.CodeModelNotFound},
 		{"unknown file", post(c, "/v1/batches", `{"input_file_id":"file-none","endpoint":"/v1/completions"}`), apierr.CodeNotFound},
 		{"wrong endpoint", post(c, "/v1/batches", `{"input_file_id":"file-none","endpoint":"/v1/images"}`), apierr.CodeBadRequest},
 		{"bad window", post(c, "/v1/batches", `{"input_file_id":"f","endpoint":"/v1/completions","completion_window":"soon"}`), apierr.CodeBadRequest},
@@ -211,7 +211,7 @@
 // through both entries, which happens if each entry remembers only its own keys.
 func TestIdempotencyKeyHoldsAcrossEntries(t *testing.T) {
 	f, ctx := startFleet(t)
-	key := client.Header{Name: entry.HeaderKey, Value: "hem-17"}
+	key := client.Header{Name: entry.HeaderIdempotencyKey, Value: "hem-17"}
 	var first string
 	for n := range 4 {
 		c, err := f.caller(n)
@@ -229,14 +229,14 @@
 			t.Fatalf("call %d got %q, the first got %q", n, reply, first)
 		}
 	}
-	if n := f.Service.Calls("17"); n != 1 {
+	if n := f.Service.CallCount("17"); n != 1 {
 		t.Fatalf("the service was called %d times, want once", n)
 	}
 	c, err := f.caller(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.Raw(ctx, http.MethodPost, "/v1/services/stamps/hem", "application/json", []byte("18"), key); !apierr.Is(err, apierr.CodeKeyConflict) {
+	if _, err := c.Raw(ctx, http.MethodPost, "/v1/services/stamps/hem", "application/json", []byte("18"), key); !apierr.Is(err, apierr.CodeIdempotencyConflict) {
 		t.Fatalf("different body with the same key: got %v, want a key conflict", err)
 	}
 }
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -20,9 +20,9 @@
 
 // Chunk is the output of one engine step.
 type Chunk struct {
-	Text   string
-	Tokens uint32
-	Finish string // not empty in the last chunk
+	Text         string
+	Tokens       uint32
+	FinishReason string // not empty in the last chunk
 	// PromptTokens is set only in the last chunk.
 	PromptTokens uint32
 }
@@ -87,8 +87,8 @@
 var (
 	// ErrRejected means that the engine can never run this request.
 	ErrRejected = errors.New("engine rejected the request")
-	// ErrBusy means that the engine failed temporarily.
-	ErrBusy = errors.New("engine failed, may be tried again")
+	// ErrTransient means that the engine failed temporarily.
+	ErrTransient = errors.New("engine failed, may be tried again")
 	// ErrUnavailable means that the engine accepts no requests at present. The request
 	// was not started.
 	ErrUnavailable = errors.New("engine unavailable")
--- a/engine/enginehttp/client.go
+++ b/engine/enginehttp/client.go
@@ -89,7 +89,7 @@
 	case CodeRejected:
 		return engine.ErrRejected
 	case CodeBusy:
-		return engine.ErrBusy
+		return engine.ErrTransient
 	case CodeUnavailable:
 		return engine.ErrUnavailable
 	case CodeUnknownModel:
@@ -105,7 +105,7 @@
 	switch {
 	case errors.Is(err, engine.ErrRejected):
 		return CodeRejected
-	case errors.Is(err, engine.ErrBusy):
+	case errors.Is(err, engine.ErrTransient):
 		return CodeBusy
 	case errors.Is(err, engine.ErrUnavailable):
 		return CodeUnavailable
@@ -154,7 +154,7 @@
 	}
 	var chunk CompletionChunk
 	if json.Unmarshal(data, &chunk) != nil || chunk.Error == nil {
-		return engine.ErrBusy
+		return engine.ErrTransient
 	}
 	return ErrorFor(chunk.Error.Code)
 }
@@ -195,7 +195,7 @@
 		case <-s.stop:
 			return
 		}
-		if r.err != nil || r.chunk.Finish != "" {
+		if r.err != nil || r.chunk.FinishReason != "" {
 			return
 		}
 	}
@@ -221,7 +221,7 @@
 	for _, ch := range c.Choices {
 		out.Text += ch.Text
 		out.Tokens += ch.Tokens
-		out.Finish = ch.FinishReason
+		out.FinishReason = ch.FinishReason
 	}
 	if c.Usage != nil {
 		out.PromptTokens = c.Usage.PromptTokens
@@ -233,7 +233,7 @@
 func (s *stream) Next(ctx context.Context) (engine.Chunk, error) {
 	select {
 	case r := <-s.results:
-		s.ended = r.err != nil || r.chunk.Finish != ""
+		s.ended = r.err != nil || r.chunk.FinishReason != ""
 		return r.chunk, r.err
 	case <-ctx.Done():
 		return engine.Chunk{}, ctx.Err()
@@ -299,7 +299,7 @@
 	if json.Unmarshal(data, &chunk) == nil && chunk.Error != nil {
 		return ErrorFor(chunk.Error.Code)
 	}
-	return engine.ErrBusy
+	return engine.ErrTransient
 }
 
 // Service calls a plain service over HTTP. It implements agent.Service and never
--- a/entry/api.go
+++ b/entry/api.go
@@ -33,11 +33,11 @@
 
 // Headers of the callers' interface.
 const (
-	HeaderKey           = "Idempotency-Key"
-	HeaderNonIdempotent = "X-Pumice-Non-Idempotent"
-	HeaderTimeout       = "X-Pumice-Timeout-Ms"
-	HeaderRan           = "X-Pumice-Ran" // "yes", "no" or "unknown"; set on every error response
-	HeaderRequestID     = "X-Request-Id"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderNonIdempotent  = "X-Pumice-Non-Idempotent"
+	HeaderTimeout        = "X-Pumice-Timeout-Ms"
+	HeaderRan            = "X-Pumice-Ran" // "yes", "no" or "unknown"; set on every error response
+	HeaderRequestID      = "X-Request-Id"
 )
 
 // ServeCallers serves the callers' interface on ln until ctx ends.
@@ -94,7 +94,7 @@
 
 func (e *Entry) authenticate(c *app.RequestContext) (config.Workspace, error) {
 	if !e.follower.Synced() {
-		return config.Workspace{}, apierr.New(apierr.CodeNotRun, "this entry has no configuration yet").After(time.Second)
+		return config.Workspace{}, apierr.New(apierr.CodeNotRun, "this entry has no configuration yet").WithRetryAfter(time.Second)
 	}
 	var ws config.Workspace
 	ok := false
@@ -104,7 +104,7 @@
 		return ws, apierr.New(apierr.CodeUnauthorized, "unknown key")
 	}
 	if !e.allowRequest(ws) {
-		return ws, apierr.New(apierr.CodeRateLimited, "the workspace's rate limit is reached").After(time.Second)
+		return ws, apierr.New(apierr.CodeRateLimited, "the workspace's rate limit is reached").WithRetryAfter(time.Second)
 	}
 	return ws, nil
 }
@@ -237,9 +237,9 @@
 		}
 		timeout = time.Duration(ms) * time.Millisecond
 	}
-	key := string(c.GetHeader(HeaderKey))
+	key := string(c.GetHeader(HeaderIdempotencyKey))
 	if len(key) > MaxKeyBytes || !utf8.ValidString(key) {
-		return nil, apierr.New(apierr.CodeBadRequest, "%s must be UTF-8 of at most %d bytes", HeaderKey, MaxKeyBytes)
+		return nil, apierr.New(apierr.CodeBadRequest, "%s must be UTF-8 of at most %d bytes", HeaderIdempotencyKey, MaxKeyBytes)
 	}
 	return &Request{
 		ID:            uuid.New(),
--- a/entry/api_files.go
+++ b/entry/api_files.go
@@ -139,7 +139,7 @@
 		return nil, "", apierr.New(apierr.CodeBadRequest, "the file is empty")
 	}
 	if !e.modelExists(model) {
-		return nil, "", apierr.New(apierr.CodeUnknownModel, "no such model: %s", model)
+		return nil, "", apierr.New(apierr.CodeModelNotFound, "no such model: %s", model)
 	}
 	return lines, model, nil
 }
--- a/entry/api_operator.go
+++ b/entry/api_operator.go
@@ -155,25 +155,25 @@
 
 // StatusReply is the state of the fleet as known to one entry.
 type StatusReply struct {
-	Node       string        `json:"node"`
-	Ready      bool          `json:"ready"`
-	Config     uint64        `json:"config_offset"`
-	Workspaces int           `json:"workspaces"`
-	Laggards   []string      `json:"laggards"`
-	Agents     []AgentStatus `json:"agents"`
-	Partitions []Partition   `json:"partitions"`
+	Node         string        `json:"node"`
+	Ready        bool          `json:"ready"`
+	ConfigOffset uint64        `json:"config_offset"`
+	Workspaces   int           `json:"workspaces"`
+	Laggards     []string      `json:"laggards"`
+	Agents       []AgentStatus `json:"agents"`
+	Partitions   []Partition   `json:"partitions"`
 }
 
 // AgentStatus is the last status that an agent reported.
 type AgentStatus struct {
-	Name       string   `json:"name"`
-	DataCentre string   `json:"data_centre"`
-	Models     []string `json:"models"`
-	Seats      int      `json:"seats"`
-	Running    int      `json:"running"`
-	Queued     int      `json:"queued"`
-	Leaving    bool     `json:"leaving"`
-	Config     uint64   `json:"config_offset"`
+	Name         string   `json:"name"`
+	DataCentre   string   `json:"data_centre"`
+	Models       []string `json:"models"`
+	Seats        int      `json:"seats"`
+	Running      int      `json:"running"`
+	Queued       int      `json:"queued"`
+	Leaving      bool     `json:"leaving"`
+	ConfigOffset uint64   `json:"config_offset"`
 }
 
 // Partition is a batch partition with the entry that is proposed as its owner.
@@ -183,9 +183,9 @@
 }
 
 func (e *Entry) serveStatus(ctx context.Context, c *app.RequestContext, _ config.Operator) error {
-	s := StatusReply{Node: e.cfg.Name, Ready: e.Ready(), Config: e.follower.Offset()}
+	s := StatusReply{Node: e.cfg.Name, Ready: e.Ready(), ConfigOffset: e.follower.Offset()}
 	e.follower.View(func(st *config.State) { s.Workspaces = st.Workspaces() })
-	s.Laggards = e.laggingNodes(ctx, s.Config)
+	s.Laggards = e.laggingNodes(ctx, s.ConfigOffset)
 	s.Agents = e.agentStatuses()
 	for p := uint32(0); p < e.cfg.Ledger.Partitions; p++ {
 		s.Partitions = append(s.Partitions, Partition{Number: p, Owner: e.manager.Proposed(p)})
@@ -198,10 +198,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := []AgentStatus{}
-	for _, a := range e.router.Views() {
+	for _, a := range e.router.Agents() {
 		out = append(out, AgentStatus{
 			Name: a.Name, DataCentre: a.Report.DataCentre, Models: a.Report.Models, Seats: a.Report.Seats,
-			Running: a.Report.Running, Queued: a.Report.Queued, Leaving: a.Report.Leaving, Config: e.offsets[a.Name],
+			Running: a.Report.Running, Queued: a.Report.Queued, Leaving: a.Report.Leaving, ConfigOffset: e.offsets[a.Name],
 		})
 	}
 	return out
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -112,7 +112,7 @@
 	cfg.Routing.DataCentre = cfg.DataCentre
 	e := &Entry{
 		cfg:          cfg,
-		log:          cfg.Logger.Part("entry"),
+		log:          cfg.Logger.WithPrefix("entry"),
 		retryBudget:  online.NewRetryBudget(),
 		events:       newEventLog(),
 		router:       routing.New(cfg.Routing),
@@ -134,7 +134,7 @@
 	e.cfg.Link.Incarnation = cfg.Incarnation
 	e.cfg.Link.Status = e.status
 	e.cfg.Link.OnStatus = e.handlePeerStatus
-	e.cfg.Link.OnLost = e.handlePeerLost
+	e.cfg.Link.OnDisconnect = e.handlePeerLost
 	e.cfg.Link.Handle = e.handleCall
 	return e
 }
@@ -239,7 +239,7 @@
 func (e *Entry) handlePeerLost(addr string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.router.Lost(e.agentByAddr(addr))
+	e.router.MarkUnreachable(e.agentByAddr(addr))
 }
 
 // handlePeerStatus records the status that a peer reported in a heartbeat. A nil
@@ -248,7 +248,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if st == nil {
-		e.router.Alive(time.Now(), e.agentByAddr(addr))
+		e.router.RenewReport(time.Now(), e.agentByAddr(addr))
 		return
 	}
 	e.offsets[st.GetNode()] = st.GetConfigOffset()
@@ -256,7 +256,7 @@
 		return
 	}
 	e.agentLeaving[st.GetNode()] = st.GetLeaving()
-	e.router.Note(time.Now(), st.GetNode(), routing.Report{
+	e.router.UpdateReport(time.Now(), st.GetNode(), routing.Report{
 		Incarnation: string(st.GetIncarnation()),
 		DataCentre:  st.GetDataCentre(),
 		Models:      st.GetModels(),
--- a/entry/hosts.go
+++ b/entry/hosts.go
@@ -123,7 +123,7 @@
 		nodes[name] = n
 		if agents {
 			e.router.Add(name, h.Addr)
-			go n.peer.Keep(nctx, link.Control, redialDelay)
+			go n.peer.KeepConnected(nctx, link.Control, redialDelay)
 		}
 	}
 }
@@ -262,13 +262,13 @@
 	n := e.entries[owner]
 	e.mu.Unlock()
 	if n == nil {
-		return failureReply(apierr.New(apierr.CodeNotOwner, "no entry owns the partition").After(time.Second))
+		return failureReply(apierr.New(apierr.CodeNotOwner, "no entry owns the partition").WithRetryAfter(time.Second))
 	}
 	reply := &wire.PeerReply{}
 	call := &wire.Call{Kind: &wire.Call_Peer{Peer: req}}
 	if err := n.peer.Call(ctx, link.Batch, call, reply); err != nil {
 		e.log.Debug("call to the partition owner failed", logging.F("owner", owner), logging.F("error", err.Error()))
-		return failureReply(apierr.Unknown(apierr.CodeNotOwner, "the partition's owner does not answer").After(time.Second))
+		return failureReply(apierr.MaybeExecuted(apierr.CodeNotOwner, "the partition's owner does not answer").WithRetryAfter(time.Second))
 	}
 	return reply
 }
@@ -282,7 +282,7 @@
 func (e *Entry) servePeer(ctx context.Context, req *wire.PeerRequest) *wire.PeerReply {
 	o := e.manager.Owner(req.GetPartition())
 	if o == nil {
-		return failureReply(apierr.New(apierr.CodeNotOwner, "partition is changing hands").After(time.Second))
+		return failureReply(apierr.New(apierr.CodeNotOwner, "partition is changing hands").WithRetryAfter(time.Second))
 	}
 	return o.Serve(ctx, req)
 }
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -84,7 +84,7 @@
 		}},
 	})
 	if err != nil {
-		if apierr.Is(err, apierr.CodeKeyConflict) || apierr.Is(err, apierr.CodeBadRequest) {
+		if apierr.Is(err, apierr.CodeIdempotencyConflict) || apierr.Is(err, apierr.CodeBadRequest) {
 			return nil, err
 		}
 		return nil, withUnknownOutcome(err)
@@ -115,7 +115,7 @@
 func (d *dispatch) attachToKeyOwner(ctx context.Context, owner *wire.KeyReply) (*wire.End, error) {
 	n := d.e.agent(owner.GetAgent())
 	if n == nil {
-		return nil, apierr.Unknown(apierr.CodeOutcomeUnknown, "the target that had this request is gone")
+		return nil, apierr.MaybeExecuted(apierr.CodeOutcomeUnknown, "the target that had this request is gone")
 	}
 	d.e.mu.Lock()
 	incarnation := ""
@@ -129,7 +129,7 @@
 		return end, nil
 	}
 	if errors.Is(err, errAgentLost) {
-		return nil, apierr.Unknown(apierr.CodeOutcomeUnknown, "the target that had this request does not know it any more")
+		return nil, apierr.MaybeExecuted(apierr.CodeOutcomeUnknown, "the target that had this request does not know it any more")
 	}
 	return nil, d.finalError(err)
 }
--- a/entry/ledger_fault_test.go
+++ b/entry/ledger_fault_test.go
@@ -113,7 +113,7 @@
 	out := make(map[string]int)
 	prefix := fmt.Sprintf("b%d-%x-", j.ref.partition, j.ref.id)
 	for _, e := range tc.engines {
-		for id, n := range e.AllRuns() {
+		for id, n := range e.RunCounts() {
 			if strings.HasPrefix(id, prefix) {
 				out[id] += n
 			}
@@ -367,7 +367,7 @@
 	case "log up":
 		tc.log.SetDown(false)
 	case "lose answers":
-		tc.log.LoseAnswers(1 + s.B)
+		tc.log.LoseResponses(1 + s.B)
 	case "drop appends":
 		tc.log.DropAppends(1 + s.B)
 	case "repeat appends":
@@ -389,7 +389,7 @@
 // running.
 func (tc *testCluster) clearFaults() {
 	tc.log.SetDown(false)
-	tc.log.LoseAnswers(0)
+	tc.log.LoseResponses(0)
 	tc.log.DropAppends(0)
 	tc.log.SetFaultRates(0, 0)
 	tc.net.resumeAll()
@@ -527,7 +527,7 @@
 		time.Sleep(5 * time.Second)
 		late := &testJob{name: "late", items: 3, poisonIndex: -1, crashIndex: -1}
 		err := tc.submit(late, 0, 3*time.Second)
-		if fail := apierr.From(err); err == nil || fail.Ran != wire.Ran_RAN_NO || fail.Code != apierr.CodeLogDown {
+		if fail := apierr.From(err); err == nil || fail.Ran != wire.Ran_RAN_NO || fail.Code != apierr.CodeLogUnavailable {
 			t.Fatalf("submit with the log down: want log unavailable and not run, got %v", err)
 		}
 		tc.log.SetDown(false)
--- a/entry/online.go
+++ b/entry/online.go
@@ -61,7 +61,7 @@
 	end, err := d.start(ctx)
 	e.cfg.Metrics.Observe("online_total", req.Workspace, time.Since(startedAt))
 	if err == nil {
-		e.retryBudget.Success()
+		e.retryBudget.RecordSuccess()
 		return end, nil
 	}
 	fail := apierr.From(err)
@@ -89,7 +89,7 @@
 	defer d.e.mu.Unlock()
 	c, ok := d.e.router.Pick(time.Now(), q)
 	if ok {
-		d.e.router.Began(c.Name)
+		d.e.router.RequestStarted(c.Name)
 	}
 	return c, ok
 }
@@ -97,10 +97,10 @@
 // recordEnd tells the router that the request has ended at an agent, and whether
 // the agent or its engine is at fault.
 func (d *dispatch) recordEnd(name string, err error) {
-	fault := err != nil && (apierr.Is(err, apierr.CodeEngine) || errors.Is(err, errAgentLost))
+	fault := err != nil && (apierr.Is(err, apierr.CodeEngineFailed) || errors.Is(err, errAgentLost))
 	d.e.mu.Lock()
 	defer d.e.mu.Unlock()
-	d.e.router.Ended(time.Now(), name, fault)
+	d.e.router.RequestEnded(time.Now(), name, fault)
 }
 
 // errAgentLost marks failures in which the agent that received the request, or was
@@ -140,9 +140,9 @@
 // noTargetError returns the error for a request that no agent is eligible for.
 func (d *dispatch) noTargetError() error {
 	if d.req.Service == "" && !d.e.modelExists(d.req.Model) {
-		return apierr.New(apierr.CodeUnknownModel, "no such model: %s", d.req.Model)
+		return apierr.New(apierr.CodeModelNotFound, "no such model: %s", d.req.Model)
 	}
-	return apierr.New(apierr.CodeNoTarget, "no target serves this now").After(time.Second)
+	return apierr.New(apierr.CodeNoTarget, "no target serves this now").WithRetryAfter(time.Second)
 }
 
 // retryBaseDelay is the mean back-off before the second retry. It doubles with
@@ -166,9 +166,9 @@
 	fail := apierr.From(err)
 	if fail.Ran == wire.Ran_RAN_NO {
 		switch fail.Code {
-		case apierr.CodeLeaving, apierr.CodeWrongIncarnation, apierr.CodeUnknownModel, apierr.CodeNotRun:
+		case apierr.CodeLeaving, apierr.CodeWrongIncarnation, apierr.CodeModelNotFound, apierr.CodeNotRun:
 			return true
-		case apierr.CodeOverloaded, apierr.CodeEngine:
+		case apierr.CodeOverloaded, apierr.CodeEngineFailed:
 			return d.e.retryBudget.Take()
 		}
 		return false
@@ -176,7 +176,7 @@
 	if d.req.NonIdempotent {
 		return false
 	}
-	lost := errors.Is(err, errAgentLost) || fail.Code == apierr.CodeEngine
+	lost := errors.Is(err, errAgentLost) || fail.Code == apierr.CodeEngineFailed
 	return lost && d.e.retryBudget.Take()
 }
 
@@ -185,13 +185,13 @@
 func (d *dispatch) finalError(err error) error {
 	fail := *apierr.From(err)
 	if errors.Is(err, errAgentLost) && fail.Ran != wire.Ran_RAN_NO {
-		fail = *apierr.Unknown(apierr.CodeOutcomeUnknown, "the target was lost while it had the request")
+		fail = *apierr.MaybeExecuted(apierr.CodeOutcomeUnknown, "the target was lost while it had the request")
 	}
 	// Merge the outcomes of all attempts: the last target may not have run the
 	// request although an earlier one did. Otherwise the caller would be told
 	// "not run" after a run whose target was lost.
 	fail.Ran = mergeRan(d.ran, fail.Ran)
-	if fail.Code == apierr.CodeEngine && fail.Ran == wire.Ran_RAN_UNKNOWN {
+	if fail.Code == apierr.CodeEngineFailed && fail.Ran == wire.Ran_RAN_UNKNOWN {
 		fail.Code = apierr.CodeOutcomeUnknown
 	}
 	return &fail
@@ -260,12 +260,12 @@
 		reattachTimeout = a.dispatch.e.cfg.ResumeTimeout
 	}
 	for {
-		nextSeq := a.assembler.Next()
+		nextSeq := a.assembler.NextSeq()
 		err := a.readStream(ctx, call)
 		if end := a.assembler.End(); end != nil {
 			return end, nil
 		}
-		if a.assembler.Next() != nextSeq {
+		if a.assembler.NextSeq() != nextSeq {
 			lostAt = time.Time{}
 		}
 		var fail *apierr.Error
@@ -286,12 +286,12 @@
 			lostAt = time.Now()
 		}
 		if time.Since(lostAt) > reattachTimeout {
-			return nil, errors.Mark(apierr.Unknown(apierr.CodeOutcomeUnknown, "target not reached"), errAgentLost)
+			return nil, errors.Mark(apierr.MaybeExecuted(apierr.CodeOutcomeUnknown, "target not reached"), errAgentLost)
 		}
-		if !lostAt.IsZero() && a.assembler.Next() == nextSeq {
+		if !lostAt.IsZero() && a.assembler.NextSeq() == nextSeq {
 			_ = wait.For(ctx, reattachDelay)
 		}
-		call = &wire.Call{Kind: &wire.Call_Attach{Attach: &wire.Attach{Id: a.id, FromSeq: a.assembler.Next()}}}
+		call = &wire.Call{Kind: &wire.Call_Attach{Attach: &wire.Attach{Id: a.id, FromSeq: a.assembler.NextSeq()}}}
 	}
 }
 
@@ -318,7 +318,7 @@
 			// This failure has no sequence number, so it bypasses the assembler.
 			return apierr.FromWire(fail)
 		}
-		pieces, err := a.assembler.Take(f)
+		pieces, err := a.assembler.AddFrame(f)
 		if err != nil {
 			return err
 		}
@@ -373,7 +373,7 @@
 	defer cancel()
 	ran := a.revoke(revokeCtx)
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return &apierr.Error{Code: apierr.CodeDeadline, Message: "the deadline passed", Ran: ran}
+		return &apierr.Error{Code: apierr.CodeDeadlineExceeded, Message: "the deadline passed", Ran: ran}
 	}
 	return &apierr.Error{Code: apierr.CodeCancelled, Message: "the caller hung up", Ran: ran}
 }
@@ -382,7 +382,7 @@
 // its start was lost in transit, or the agent was restarted. The revoke leaves a
 // tombstone at the agent, so that a delayed copy of the start cannot run.
 func (a *answerReader) resolveUnknown(ctx context.Context) error {
-	if a.assembler.Next() > 0 {
+	if a.assembler.NextSeq() > 0 {
 		return errors.Mark(apierr.Executed(apierr.CodeOutcomeUnknown, "target lost the answer"), errAgentLost)
 	}
 	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
@@ -393,5 +393,5 @@
 	case wire.Ran_RAN_YES:
 		return errors.Mark(apierr.Executed(apierr.CodeOutcomeUnknown, "target lost the answer"), errAgentLost)
 	}
-	return errors.Mark(apierr.Unknown(apierr.CodeOutcomeUnknown, "target was restarted"), errAgentLost)
+	return errors.Mark(apierr.MaybeExecuted(apierr.CodeOutcomeUnknown, "target was restarted"), errAgentLost)
 }
--- a/entry/online_fault_test.go
+++ b/entry/online_fault_test.go
@@ -68,11 +68,11 @@
 // countCallRuns returns how often a request ran on an engine or the service.
 func (tc *testCluster) countCallRuns(c *testCall) int {
 	if c.service {
-		return tc.service.Calls(c.prompt)
+		return tc.service.CallCount(c.prompt)
 	}
 	n := 0
 	for _, e := range tc.engines {
-		n += e.Runs(hex.EncodeToString(c.id[:]))
+		n += e.RunCount(hex.EncodeToString(c.id[:]))
 	}
 	return n
 }
@@ -186,7 +186,7 @@
 		tc.wg.Go(func() {
 			ctx, cancel := context.WithTimeout(tc.ctx, 30*time.Second)
 			defer cancel()
-			a.Leave(ctx)
+			a.Shutdown(ctx)
 			time.Sleep(200 * time.Millisecond)
 			tc.net.detach(a.host)
 			a.cancel()
--- a/entry/world_test.go
+++ b/entry/world_test.go
@@ -104,9 +104,9 @@
 
 func (tc *testCluster) linkConfig(h *pipeHost) link.Config {
 	return link.Config{
-		HeartbeatEvery: 200 * time.Millisecond,
-		SilentAfter:    time.Second,
-		Dial:           func(ctx context.Context, addr string) (net.Conn, error) { return tc.net.dial(ctx, h, addr) },
+		HeartbeatInterval: 200 * time.Millisecond,
+		HeartbeatTimeout:  time.Second,
+		Dial:              func(ctx context.Context, addr string) (net.Conn, error) { return tc.net.dial(ctx, h, addr) },
 	}
 }
 
@@ -137,7 +137,7 @@
 		Logger:           testLogger(),
 		Ledger: ledger.Config{
 			Partitions: tc.settings.partitions, ResultsEvery: 100 * time.Millisecond, SnapshotEvery: tc.settings.snapshotEvery, Retention: tc.settings.retention,
-			Limits: batch.Limits{MaxAttempts: 4, MaxTargetLoss: 2, BackoffBase: 50 * time.Millisecond, BackoffMax: time.Second},
+			Limits: batch.Limits{MaxAttempts: 4, MaxTargetLosses: 2, BackoffBase: 50 * time.Millisecond, BackoffMax: time.Second},
 		},
 	})
 	tc.wg.Go(func() { _ = e.Run(ctx, host) })
--- a/events/events.go
+++ b/events/events.go
@@ -28,7 +28,7 @@
 	Raw  []byte // all bytes of the event, including the final blank line
 	Data []byte // values of the data fields, joined by line feeds
 	// Any reports whether the event has a data field, which may be empty.
-	Any bool
+	HasData bool
 }
 
 // Reader reads events from a stream and checks that their IDs are consecutive. It is not
@@ -110,10 +110,10 @@
 			ev.ID = n
 		}
 	case "data":
-		if ev.Any {
+		if ev.HasData {
 			ev.Data = append(ev.Data, '\n')
 		}
-		ev.Any = true
+		ev.HasData = true
 		ev.Data = append(ev.Data, value...)
 	}
 }
--- a/events/events_test.go
+++ b/events/events_test.go
@@ -21,7 +21,7 @@
 		}
 		n++
 		raw = append(raw, ev.Raw...)
-		if ev.Any {
+		if ev.HasData {
 			data = append(append(data, ev.Data...), '|')
 		}
 	}
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -15,16 +15,16 @@
 
 // Call is one request to a target. It must not be modified once it is sent.
 type Call struct {
-	ID       string
-	Method   string
-	Host     string // as sent by the caller; decides the route
-	URI      string // path and query, escaped as received
-	Header   http.Header
-	Body     []byte
-	Deadline time.Time // the target stops work at this time; zero for none
-	After    uint64    // ID of the event after which a stream resumes; 0 for its start
-	Tokens   int       // prompt tokens plus the maximum of output tokens; 0 when unknown
-	Reserved string    // name of the slot reserved at the target; "" for none
+	ID           string
+	Method       string
+	Host         string // as sent by the caller; decides the route
+	URI          string // path and query, escaped as received
+	Header       http.Header
+	Body         []byte
+	Deadline     time.Time // the target stops work at this time; zero for none
+	ResumeAfter  uint64    // ID of the event after which a stream resumes; 0 for its start
+	Tokens       int       // prompt tokens plus the maximum of output tokens; 0 when unknown
+	ReservedSlot string    // name of the slot reserved at the target; "" for none
 	// Workspace is the workspace that the call belongs to, "" for none. It is sent to the
 	// target.
 	Workspace string
@@ -45,14 +45,14 @@
 	OtherInstance
 )
 
-// Answer is a target's reply to a call. Whoever receives it closes Body.
-type Answer struct {
-	Outcome Outcome
-	Status  int
-	Header  http.Header // end-to-end headers only, without hop-by-hop ones
-	Body    io.ReadCloser
-	Length  int64 // of the body in bytes, -1 when unknown
-	Events  bool  // whether the body is an event stream
+// Response is a target's reply to a call. Whoever receives it closes Body.
+type Response struct {
+	Outcome       Outcome
+	Status        int
+	Header        http.Header // end-to-end headers only, without hop-by-hop ones
+	Body          io.ReadCloser
+	ContentLength int64 // of the body in bytes, -1 when unknown
+	EventStream   bool  // whether the body is an event stream
 }
 
 // Sender sends calls to targets.
@@ -60,7 +60,7 @@
 	// Send sends a call to one instance and returns when the response header has arrived.
 	// The body is read from the connection; closing it early makes the target cancel the
 	// call. Any error is a *SendError.
-	Send(ctx context.Context, to targets.Instance, call *Call) (*Answer, error)
+	Send(ctx context.Context, to targets.Instance, call *Call) (*Response, error)
 }
 
 // ErrFull reports that a target has no free slot to reserve.
@@ -81,7 +81,7 @@
 const (
 	FaultConnect  Fault = "connect"  // no connection to the target was established
 	FaultBroken   Fault = "broken"   // the connection ended before the response
-	FaultSpoiled  Fault = "spoiled"  // the data received is not a valid response to this call
+	FaultInvalid  Fault = "spoiled"  // the data received is not a valid response to this call
 	FaultCanceled Fault = "canceled" // the call's context ended
 )
 
--- a/fleet/copies.go
+++ b/fleet/copies.go
@@ -43,13 +43,13 @@
 
 // partitions returns the partitions that hold the copies.
 func (c *Copies) partitions() []store.Partition {
-	return store.Spread(c.topic, c.numPartitions, copyCount)
+	return store.SpreadPartitions(c.topic, c.numPartitions, copyCount)
 }
 
 // Save writes the view to all copies if it has changed since the last save. A save
 // that reaches at least one partition counts as done.
 func (c *Copies) Save(ctx context.Context, now time.Time) {
-	changes := c.view.Changes()
+	changes := c.view.ChangeCount()
 	if changes == c.savedChanges || !c.view.Ready() {
 		return
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// OnChange sets the function that is called with all instances after they change. It
+// OnTargetChange sets the function that is called with all instances after they change. It
 // is called without locks held.
-func (v *View) OnChange(fn func([]targets.Instance)) {
+func (v *View) OnTargetChange(fn func([]targets.Instance)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.onChange = fn
@@ -94,9 +94,9 @@
 	}
 }
 
-// Await blocks until the view is ready, limit has passed or ctx ends. Callers check
+// WaitReady blocks until the view is ready, limit has passed or ctx ends. Callers check
 // Ready afterwards.
-func (v *View) Await(ctx context.Context, limit time.Duration) {
+func (v *View) WaitReady(ctx context.Context, limit time.Duration) {
 	_ = wait.ForChange(ctx, v.ready, limit)
 }
 
@@ -118,7 +118,7 @@
 		return
 	}
 	v.mu.Lock()
-	newer := v.current.Offer(c)
+	newer := v.current.SetIfNewer(c)
 	if newer {
 		v.rawCatalog = value
 		v.changes++
@@ -127,7 +127,7 @@
 	}
 	v.mu.Unlock()
 	if newer {
-		v.metrics.Gauge("catalog_version", float64(c.Version))
+		v.metrics.SetGauge("catalog_version", float64(c.Version))
 		v.metrics.Count("catalog_changes")
 		v.log.Info("catalog in force", logging.F("version", c.Version), logging.F("from", from))
 	}
@@ -154,9 +154,9 @@
 	}
 }
 
-// Table calls fn with the balance table while holding the lock. fn must not call
+// WithTable calls fn with the balance table while holding the lock. fn must not call
 // methods of the View.
-func (v *View) Table(fn func(t *balance.Table)) {
+func (v *View) WithTable(fn func(t *balance.Table)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	fn(v.table)
@@ -194,8 +194,8 @@
 	}
 }
 
-// Changes returns the number of catalog and target changes so far.
-func (v *View) Changes() uint64 {
+// ChangeCount returns the number of catalog and target changes so far.
+func (v *View) ChangeCount() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.changes
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -58,13 +58,13 @@
 // registry's among them, and the registry is the only place that lists the targets.
 func TestLoadsCopyWhileRegistryIsDown(t *testing.T) {
 	s := sharedstore.New(numPartitions)
-	c := fleet.NewCopies(s.For("a"), "copies", numPartitions, filledView("7", "i0", "i1"), logging.Logger{})
+	c := fleet.NewCopies(s.ClientFor("a"), "copies", numPartitions, filledView("7", "i0", "i1"), logging.Logger{})
 	c.Save(t.Context(), time.Now())
 	// Two of the three partitions with copies are down as well.
-	s.SetDown(store.Partition{Topic: "copies", Number: 0}, true)
-	s.SetDown(store.Partition{Topic: "copies", Number: 8}, true)
+	s.SetPartitionDown(store.Partition{Topic: "copies", Number: 0}, true)
+	s.SetPartitionDown(store.Partition{Topic: "copies", Number: 8}, true)
 	v := newView()
-	fleet.NewCopies(s.For("b"), "copies", numPartitions, v, logging.Logger{}).Load(t.Context())
+	fleet.NewCopies(s.ClientFor("b"), "copies", numPartitions, v, logging.Logger{}).Load(t.Context())
 	if !v.Ready() || v.Catalog().Version != 7 || len(v.Instances()) != 2 {
 		t.Fatalf("ready %v, %d targets", v.Ready(), len(v.Instances()))
 	}
@@ -86,9 +86,9 @@
 	v.CatalogSink().Reset([]store.Record{{Key: "c", Value: []byte("1")}})
 	v.TargetSink().Reset(recs)
 	s := sharedstore.New(numPartitions)
-	fleet.NewCopies(s.For("a"), "copies", numPartitions, v, logging.Logger{}).Save(t.Context(), time.Now())
+	fleet.NewCopies(s.ClientFor("a"), "copies", numPartitions, v, logging.Logger{}).Save(t.Context(), time.Now())
 	fromCopy, fromPeer := newView(), newView()
-	fleet.NewCopies(s.For("b"), "copies", numPartitions, fromCopy, logging.Logger{}).Load(t.Context())
+	fleet.NewCopies(s.ClientFor("b"), "copies", numPartitions, fromCopy, logging.Logger{}).Load(t.Context())
 	raw, exported := v.Export()
 	fromPeer.Import(raw, store.FromWire(store.ToWire(exported)), "peer")
 	for name, got := range map[string]*fleet.View{"copy": fromCopy, "peer": fromPeer} {
@@ -104,15 +104,15 @@
 // have left.
 func TestCopyDoesNotOverrideKnownState(t *testing.T) {
 	s := sharedstore.New(numPartitions)
-	fleet.NewCopies(s.For("a"), "copies", numPartitions, filledView("7", "old"), logging.Logger{}).Save(t.Context(), time.Now())
+	fleet.NewCopies(s.ClientFor("a"), "copies", numPartitions, filledView("7", "old"), logging.Logger{}).Save(t.Context(), time.Now())
 	v := filledView("9", "new")
-	fleet.NewCopies(s.For("b"), "copies", numPartitions, v, logging.Logger{}).Load(t.Context())
+	fleet.NewCopies(s.ClientFor("b"), "copies", numPartitions, v, logging.Logger{}).Load(t.Context())
 	if got := v.Instances(); v.Catalog().Version != 9 || len(got) != 1 || got[0].ID != "new" {
 		t.Fatalf("version %d, targets %v", v.Catalog().Version, got)
 	}
 	// The registry itself replaces targets loaded from a copy.
 	late := newView()
-	fleet.NewCopies(s.For("b"), "copies", numPartitions, late, logging.Logger{}).Load(t.Context())
+	fleet.NewCopies(s.ClientFor("b"), "copies", numPartitions, late, logging.Logger{}).Load(t.Context())
 	late.TargetSink().Reset([]store.Record{{Key: "now", Value: []byte("now")}})
 	if got := late.Instances(); len(got) != 1 || got[0].ID != "now" {
 		t.Fatalf("targets %v", got)
@@ -122,18 +122,18 @@
 // Load uses the newest readable copy, and Save writes nothing if nothing has changed.
 func TestLoadsNewestCopy(t *testing.T) {
 	s := sharedstore.New(numPartitions)
-	old := fleet.NewCopies(s.For("a"), "copies", numPartitions, filledView("7"), logging.Logger{})
+	old := fleet.NewCopies(s.ClientFor("a"), "copies", numPartitions, filledView("7"), logging.Logger{})
 	old.Save(t.Context(), time.UnixMilli(1000))
-	before := s.Calls()
+	before := s.CallCount()
 	old.Save(t.Context(), time.UnixMilli(2000))
-	if s.Calls() != before {
+	if s.CallCount() != before {
 		t.Fatal("unchanged view was saved again")
 	}
-	s.SetDown(store.Partition{Topic: "copies", Number: 0}, true)
-	fleet.NewCopies(s.For("a"), "copies", numPartitions, filledView("8"), logging.Logger{}).Save(t.Context(), time.UnixMilli(3000))
-	s.SetDown(store.Partition{Topic: "copies", Number: 0}, false)
+	s.SetPartitionDown(store.Partition{Topic: "copies", Number: 0}, true)
+	fleet.NewCopies(s.ClientFor("a"), "copies", numPartitions, filledView("8"), logging.Logger{}).Save(t.Context(), time.UnixMilli(3000))
+	s.SetPartitionDown(store.Partition{Topic: "copies", Number: 0}, false)
 	v := newView()
-	fleet.NewCopies(s.For("b"), "copies", numPartitions, v, logging.Logger{}).Load(t.Context())
+	fleet.NewCopies(s.ClientFor("b"), "copies", numPartitions, v, logging.Logger{}).Load(t.Context())
 	if v.Catalog().Version != 8 {
 		t.Fatalf("version %d", v.Catalog().Version)
 	}
@@ -154,7 +154,7 @@
 func TestNotifiesOnTargetChanges(t *testing.T) {
 	v := newView()
 	var counts []string
-	v.OnChange(func(all []targets.Instance) { counts = append(counts, fmt.Sprint(len(all))) })
+	v.OnTargetChange(func(all []targets.Instance) { counts = append(counts, fmt.Sprint(len(all))) })
 	sink := v.TargetSink()
 	sink.Reset([]store.Record{{Key: "a", Value: []byte("a")}})
 	sink.Apply(store.Record{Key: "a", Value: []byte("a"), Offset: 1}) // a heartbeat
@@ -208,7 +208,7 @@
 	v := filledView("1", ids...)
 	notified := 0
 	var last []targets.Instance
-	v.OnChange(func(all []targets.Instance) { notified, last = notified+1, all })
+	v.OnTargetChange(func(all []targets.Instance) { notified, last = notified+1, all })
 	var recs []store.Record
 	for i, id := range ids {
 		recs = append(recs, store.Record{Key: fmt.Sprint("new", i), Value: []byte(id), Offset: int64(count + i)})
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -67,7 +67,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, u := range updates {
-		if u.ended || u.unreadable || !v.set.Renews(u.instance) {
+		if u.ended || u.unreadable || !v.set.IsHeartbeat(u.instance) {
 			return false
 		}
 	}
@@ -125,7 +125,7 @@
 }
 
 // updateTargets calls change with v.mu held. If the instances differ afterwards, it
-// updates the balance table, logs the changes and calls the function set by OnChange.
+// updates the balance table, logs the changes and calls the function set by OnTargetChange.
 func (v *View) updateTargets(change func()) {
 	v.mu.Lock()
 	before := v.set.All()
@@ -142,7 +142,7 @@
 		return
 	}
 	v.logChanges(before, after)
-	v.metrics.Gauge("targets", float64(len(after)))
+	v.metrics.SetGauge("targets", float64(len(after)))
 	notify(after)
 }
 
@@ -197,9 +197,9 @@
 	switch {
 	case was.ID == "":
 		v.log.Info("target joined", logging.F("instance", in.ID), logging.F("addr", in.Addr), logging.F("service", in.Service))
-	case in.Born != was.Born:
+	case in.StartedUnixMs != was.StartedUnixMs:
 		v.log.Info("target restarted", logging.F("instance", in.ID), logging.F("addr", in.Addr),
-			logging.F("born", in.Born), logging.F("before", was.Born))
+			logging.F("born", in.StartedUnixMs), logging.F("before", was.StartedUnixMs))
 	case in.Superseded && !was.Superseded:
 		v.log.Info("target registration superseded by another instance", logging.F("instance", in.ID), logging.F("addr", in.Addr))
 	case in.Draining && !was.Draining:
@@ -207,33 +207,33 @@
 	}
 }
 
-// Supersede marks an instance as replaced because another one answered at its address.
+// MarkSuperseded marks an instance as replaced because another one answered at its address.
 // Registrations of dead targets remain in the registry for seconds.
-func (v *View) Supersede(id string) {
+func (v *View) MarkSuperseded(id string) {
 	v.updateTargets(func() { v.set.Supersede(id) })
 }
 
-// RegistryAway records that the registry does not answer.
-func (v *View) RegistryAway(error) {
+// RegistryUnavailable records that the registry does not answer.
+func (v *View) RegistryUnavailable(error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.set.Away()
+	v.set.RegistryDown()
 	v.metrics.Count("registry_failures")
 }
 
-// RegistryBack records that the registry answers again after an outage.
-func (v *View) RegistryBack(outage time.Duration) {
+// RegistryRecovered records that the registry answers again after an outage.
+func (v *View) RegistryRecovered(outage time.Duration) {
 	v.mu.Lock()
-	v.set.Back(time.Now())
+	v.set.RegistryUp(time.Now())
 	v.mu.Unlock()
 	v.log.Info("registry reachable again", logging.F("away_ms", outage.Milliseconds()))
 }
 
-// Expire drops targets whose registrations lapsed around an outage of the registry and
+// ExpireTargets drops targets whose registrations lapsed around an outage of the registry and
 // were not renewed since. Call it several times a second.
-func (v *View) Expire(now time.Time) {
+func (v *View) ExpireTargets(now time.Time) {
 	v.mu.Lock()
-	lapsed := v.set.Lapsing()
+	lapsed := v.set.PendingExpiry()
 	v.mu.Unlock()
 	if lapsed > 0 {
 		v.updateTargets(func() { v.set.Expire(now) })
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -93,9 +93,9 @@
 	}
 	switch se.Fault {
 	case exchange.FaultConnect:
-		s.updateHealth(in, balance.Unfit, "connect")
-	case exchange.FaultBroken, exchange.FaultSpoiled:
-		s.updateHealth(in, balance.Doubted, string(se.Fault))
+		s.updateHealth(in, balance.Unreachable, "connect")
+	case exchange.FaultBroken, exchange.FaultInvalid:
+		s.updateHealth(in, balance.Failed, string(se.Fault))
 		if se.Sent && se.Fault == exchange.FaultBroken {
 			s.reportBrokenRun(in)
 		}
@@ -115,18 +115,18 @@
 		s.logRetry("sent again; its answer is lost", in, "error", err.Error())
 		return tryNext
 	}
-	s.fail(Lost, 0)
+	s.fail(ResponseLost, 0)
 	return finished
 }
 
 // handleNotRun decides what to do after a target reported that it did not run the request.
-func (s *requestState) handleNotRun(in targets.Instance, ans *exchange.Answer) step {
+func (s *requestState) handleNotRun(in targets.Instance, ans *exchange.Response) step {
 	s.possibleRuns--
 	s.tried[in.ID] = true
 	reason := "full"
 	if ans.Outcome == exchange.OtherInstance {
 		reason = "other_instance"
-		s.g.view.Supersede(in.ID)
+		s.g.view.MarkSuperseded(in.ID)
 	}
 	if s.sends < maxSends {
 		s.logRetry("sent elsewhere; the target did not run it", in, "why", reason)
@@ -137,14 +137,14 @@
 }
 
 // relayBody relays a response that is not an event stream.
-func (s *requestState) relayBody(ans *exchange.Answer, c balance.Choice) step {
+func (s *requestState) relayBody(ans *exchange.Response, c balance.Choice) step {
 	body, err := io.ReadAll(io.LimitReader(ans.Body, maxBufferedBodyBytes))
 	if err != nil {
 		return s.handleSendError(c.Instance, &exchange.SendError{Fault: exchange.FaultBroken, Sent: true, Cause: err})
 	}
 	s.firstResponseAt = time.Now()
 	if len(body) < maxBufferedBodyBytes {
-		s.updateHealth(c.Instance, balance.Sound, "")
+		s.updateHealth(c.Instance, balance.Succeeded, "")
 		s.caller.Start(ans.Status, ans.Header, int64(len(body)))
 		s.outcome = outcomeServed
 		if s.caller.Write(body) != nil {
@@ -153,7 +153,7 @@
 		return finished
 	}
 	s.headerSent = true
-	s.caller.Start(ans.Status, ans.Header, ans.Length)
+	s.caller.Start(ans.Status, ans.Header, ans.ContentLength)
 	if s.caller.Write(body) != nil {
 		s.callerDisconnected()
 		return finished
@@ -166,7 +166,7 @@
 	return finished
 }
 
-type callerWriter struct{ caller Caller }
+type callerWriter struct{ caller Responder }
 
 // Write implements io.Writer.
 func (w callerWriter) Write(p []byte) (int, error) {
@@ -178,7 +178,7 @@
 
 // relayStream relays an event stream from its start. Status and header are sent with the
 // first complete event: until then another target can still serve the whole stream.
-func (s *requestState) relayStream(ans *exchange.Answer, c balance.Choice, cancel context.CancelFunc) step {
+func (s *requestState) relayStream(ans *exchange.Response, c balance.Choice, cancel context.CancelFunc) step {
 	return s.relayEvents(ans, c, cancel, func() {
 		s.firstResponseAt = time.Now()
 		s.headerSent = true
@@ -187,8 +187,8 @@
 }
 
 // resumeStream continues a stream that another target started.
-func (s *requestState) resumeStream(ans *exchange.Answer, c balance.Choice, cancel context.CancelFunc) step {
-	if !ans.Events || ans.Outcome != exchange.Done {
+func (s *requestState) resumeStream(ans *exchange.Response, c balance.Choice, cancel context.CancelFunc) step {
+	if !ans.EventStream || ans.Outcome != exchange.Done {
 		return s.handleBrokenStream(c.Instance, false, errNotEventStream)
 	}
 	return s.relayEvents(ans, c, cancel, func() {})
@@ -203,19 +203,19 @@
 
 // relayEvents relays events until the stream ends. It calls onFirst before it relays the first
 // event, unless the header has already been sent.
-func (s *requestState) relayEvents(ans *exchange.Answer, c balance.Choice, cancel context.CancelFunc, onFirst func()) step {
+func (s *requestState) relayEvents(ans *exchange.Response, c balance.Choice, cancel context.CancelFunc, onFirst func()) step {
 	in := c.Instance
 	gapWatchdog := newWatchdog(s.gapTimeout(), s.gapTimeout(), cancel, func() bool {
 		s.handleSilence(in)
 		return s.mayRetry()
 	})
 	defer gapWatchdog.stop()
-	rd := events.NewReader(ans.Body, max(s.lastEvent, s.req.After))
+	rd := events.NewReader(ans.Body, max(s.lastEvent, s.req.ResumeAfter))
 	began := false
 	for {
 		ev, err := rd.Next()
 		if errors.Is(err, io.EOF) && began {
-			s.updateHealth(in, balance.Sound, "")
+			s.updateHealth(in, balance.Succeeded, "")
 			s.outcome = outcomeServed
 			return finished
 		}
@@ -249,7 +249,7 @@
 		return finished
 	}
 	if !silent {
-		s.updateHealth(in, balance.Doubted, "cut")
+		s.updateHealth(in, balance.Failed, "cut")
 		s.reportBrokenRun(in)
 	}
 	s.tried[in.ID] = true
@@ -257,14 +257,14 @@
 		s.logRetry("stream goes on elsewhere", in, "error", err.Error())
 		return tryNext
 	}
-	s.fail(Lost, 0)
+	s.fail(ResponseLost, 0)
 	return finished
 }
 
 // reportBrokenRun reports to the quarantine that a connection ended while the target had
 // the request.
 func (s *requestState) reportBrokenRun(in targets.Instance) {
-	s.g.quarantine.Broke(s.ctx, quarantine.Run{
+	s.g.quarantine.RecordBroken(s.ctx, quarantine.Run{
 		Key: s.req.Key, Request: s.req.ID, Target: in, Events: s.attemptEvents, Took: time.Since(s.sentAt),
 	})
 }
@@ -302,7 +302,7 @@
 	m := s.g.metrics
 	m.Count("online_" + s.outcome)
 	if s.outcome == outcomeServed {
-		s.g.quarantine.Served(s.req.Key)
+		s.g.quarantine.RecordSuccess(s.req.Key)
 	}
 	now := time.Now()
 	s.observeHoldTime(now)
@@ -319,6 +319,6 @@
 	s.g.log.Info("request ended",
 		logging.F("request", s.req.ID), logging.F("key", s.req.Key.String()), logging.F("route", s.route.Name), logging.F("outcome", s.outcome),
 		logging.F("workspace", s.req.Workspace), logging.F("instance", s.instance), logging.F("sends", s.sends), logging.F("events", s.lastEvent),
-		logging.F("returning", s.isRetry), logging.F("first_ms", firstMs), logging.F("aim_ms", s.route.FirstWithin.Milliseconds()), logging.F("took_ms", now.Sub(s.req.Arrived).Milliseconds()),
-		logging.F("load", s.choice.Load), logging.F("waiting", s.choice.Waiting), logging.F("among", s.choice.Among))
+		logging.F("returning", s.isRetry), logging.F("first_ms", firstMs), logging.F("aim_ms", s.route.FirstEventWithin.Milliseconds()), logging.F("took_ms", now.Sub(s.req.Arrived).Milliseconds()),
+		logging.F("load", s.choice.Load), logging.F("waiting", s.choice.Waiting), logging.F("among", s.choice.Candidates))
 }
--- a/gateway/denied.go
+++ b/gateway/denied.go
@@ -15,22 +15,22 @@
 // limit, so that they do not all return at once.
 const overLimitJitter = 500 * time.Millisecond
 
-// Denied returns the refusal of a request whose sender is unknown or may not send it now,
+// Deny returns the refusal of a request whose sender is unknown or may not send it now,
 // and logs the reason. It reveals nothing about the sender's key.
-func (g *Gateway) Denied(id string, err error) Refusal {
+func (g *Gateway) Deny(id string, err error) Refusal {
 	r := Refusal{Reason: NotReady, NotRun: true, RetryAfter: retryAfterUnavailable}
 	var stale *access.StaleError
-	var over *ratelimit.OverError
-	var ungranted *ratelimit.UngrantedError
+	var over *ratelimit.OverLimitError
+	var ungranted *ratelimit.NoGrantError
 	switch {
 	case errors.As(err, &stale):
 		r.Reason, r.RetryAfter = StaleConfiguration, stale.RetryAfter()
 	case errors.Is(err, access.ErrUnknownKey):
 		r.Reason, r.RetryAfter = UnknownKey, 0
 	case errors.As(err, &over):
-		r.Reason, r.RetryAfter = OverLimit, over.ComeBack+rand.N(overLimitJitter)
+		r.Reason, r.RetryAfter = OverLimit, over.RetryAfter+rand.N(overLimitJitter)
 	case errors.As(err, &ungranted):
-		r.Reason, r.RetryAfter = LimitUnknown, ungranted.ComeBack()
+		r.Reason, r.RetryAfter = LimitUnknown, ungranted.RetryAfter()
 	}
 	g.metrics.Count("online_" + string(r.Reason))
 	g.log.Info("request refused", logging.F("request", id), logging.F("outcome", r.Reason),
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -18,8 +18,8 @@
 	"pumiceford/targets"
 )
 
-// Caller writes the response to the client that sent a request.
-type Caller interface {
+// Responder writes the response to the client that sent a request.
+type Responder interface {
 	// Start sends status and header. The length of the body is in bytes, -1 when unknown.
 	Start(status int, header http.Header, length int64)
 	// Write sends a part of the body and flushes it.
@@ -36,19 +36,19 @@
 
 // The reasons.
 const (
-	NoRoute        Reason = "no_route"         // no route has the host and path
-	NotReady       Reason = "not_ready"        // no catalog has been loaded yet
-	NoTarget       Reason = "no_target"        // no target of the service is usable
-	Overload       Reason = "overload"         // no target can serve it within a useful time
-	Lost           Reason = "lost"             // a target may have run it, but the response is lost
-	TimedOut       Reason = "timed_out"        // its deadline passed
-	Malformed      Reason = "malformed"        // the request cannot be parsed
-	TooLarge       Reason = "too_large"        // its body exceeds the limit
-	HeaderTooLarge Reason = "header_too_large" // its header exceeds the limit
-	Unsure         Reason = "unsure"           // the shared store does not respond
-	Unknown        Reason = "unknown"          // there is no such job
-	Conflict       Reason = "conflict"         // another job has the same ID
-	Quarantined    Reason = "quarantined"      // it crashes the targets that run it
+	NoRoute          Reason = "no_route"         // no route has the host and path
+	NotReady         Reason = "not_ready"        // no catalog has been loaded yet
+	NoTarget         Reason = "no_target"        // no target of the service is usable
+	Overload         Reason = "overload"         // no target can serve it within a useful time
+	ResponseLost     Reason = "lost"             // a target may have run it, but the response is lost
+	TimedOut         Reason = "timed_out"        // its deadline passed
+	Malformed        Reason = "malformed"        // the request cannot be parsed
+	TooLarge         Reason = "too_large"        // its body exceeds the limit
+	HeaderTooLarge   Reason = "header_too_large" // its header exceeds the limit
+	StoreUnavailable Reason = "unsure"           // the shared store does not respond
+	JobNotFound      Reason = "unknown"          // there is no such job
+	JobConflict      Reason = "conflict"         // another job has the same ID
+	Quarantined      Reason = "quarantined"      // it crashes the targets that run it
 
 	UnknownKey         Reason = "unknown_key"         // its key belongs to no workspace
 	StaleConfiguration Reason = "stale_configuration" // it cannot be told whether its key is still valid
@@ -102,21 +102,21 @@
 	Key     quarantine.Key // the same for each attempt of the caller
 }
 
-// Witness notifies other processes of target failures.
-type Witness interface {
+// FailureNotifier notifies other processes of target failures.
+type FailureNotifier interface {
 	// Tell reports that a request failed at an instance. It does not block.
-	Tell(instance string)
+	NotifyFailure(instance string)
 }
 
 // Config holds the dependencies of a Gateway.
 type Config struct {
-	View       *fleet.View
-	Sender     exchange.Sender
-	Reserver   exchange.Reserver
-	Witness    Witness
-	Quarantine *quarantine.Keeper
-	Log        logging.Logger
-	Metrics    *metrics.Set
+	View            *fleet.View
+	Sender          exchange.Sender
+	Reserver        exchange.Reserver
+	FailureNotifier FailureNotifier
+	Quarantine      *quarantine.Tracker
+	Log             logging.Logger
+	Metrics         *metrics.Set
 }
 
 // Gateway serves requests. Its methods are safe for concurrent use.
@@ -124,8 +124,8 @@
 	view       *fleet.View
 	sender     exchange.Sender
 	reserver   exchange.Reserver
-	notifier   Witness
-	quarantine *quarantine.Keeper
+	notifier   FailureNotifier
+	quarantine *quarantine.Tracker
 	log        logging.Logger
 	metrics    *metrics.Set
 	started    time.Time
@@ -135,7 +135,7 @@
 // New returns a Gateway.
 func New(cfg Config) *Gateway {
 	return &Gateway{
-		view: cfg.View, sender: cfg.Sender, reserver: cfg.Reserver, notifier: cfg.Witness, quarantine: cfg.Quarantine,
+		view: cfg.View, sender: cfg.Sender, reserver: cfg.Reserver, notifier: cfg.FailureNotifier, quarantine: cfg.Quarantine,
 		log: cfg.Log, metrics: cfg.Metrics, started: time.Now(), timeouts: newTimeoutTracker(),
 	}
 }
@@ -164,7 +164,7 @@
 func (g *Gateway) route(ctx context.Context, host, path string) (*catalog.Route, *Refusal) {
 	if !g.view.Ready() {
 		if left := startupGrace - time.Since(g.started); left > 0 {
-			g.view.Await(ctx, left)
+			g.view.WaitReady(ctx, left)
 		}
 	}
 	cat := g.view.Catalog()
@@ -180,7 +180,7 @@
 
 // Serve executes one request and responds to its caller. It sets req.Deadline to the earlier
 // of the caller's deadline and the route's timeout.
-func (g *Gateway) Serve(ctx context.Context, route *catalog.Route, req *Request, caller Caller) {
+func (g *Gateway) Serve(ctx context.Context, route *catalog.Route, req *Request, caller Responder) {
 	hasDeadline := !req.Deadline.IsZero()
 	isRetry := hasDeadline && g.timeouts.isRetry(req.Arrived, route.Name, req.Deadline.Sub(req.Arrived))
 	limit := req.Arrived.Add(route.Timeout)
@@ -201,7 +201,7 @@
 	ctx         context.Context
 	route       *catalog.Route
 	req         *Request
-	caller      Caller
+	caller      Responder
 	service     string
 	hasDeadline bool // the caller sent a deadline
 	isRetry     bool // the request was probably refused before
@@ -249,7 +249,7 @@
 	// The check precedes each send, since the crashes of this request's own sends may have
 	// completed the evidence against it. Otherwise one request that its caller retries
 	// crashes a service as fast as its targets restart.
-	s.g.quarantine.Settle(s.ctx, s.req.Key)
+	s.g.quarantine.WaitSettled(s.ctx, s.req.Key)
 	if left, held := s.g.quarantine.Held(s.req.Key); held {
 		s.fail(Quarantined, left)
 		return balance.Choice{}, false
@@ -271,8 +271,8 @@
 	// The send is logged in addition to the end: a process that dies does not log the end.
 	s.g.log.Info("request sent", logging.F("request", s.req.ID), logging.F("key", s.req.Key.String()), logging.F("route", s.route.Name),
 		logging.F("instance", c.Instance.ID), logging.F("load", c.Load), logging.F("batch", c.Batch),
-		logging.F("waiting", c.Waiting), logging.F("load_age_ms", loadAgeMillis(c)), logging.F("reserved", s.req.Reserved != ""),
-		logging.F("among", c.Among), logging.F("catalog", s.g.version()))
+		logging.F("waiting", c.Waiting), logging.F("load_age_ms", loadAgeMillis(c)), logging.F("reserved", s.req.ReservedSlot != ""),
+		logging.F("among", c.Candidates), logging.F("catalog", s.g.version()))
 	return c, true
 }
 
@@ -282,7 +282,7 @@
 	if !c.Reported() {
 		return -1
 	}
-	return c.Age.Milliseconds()
+	return c.LoadAge.Milliseconds()
 }
 
 // pick chooses a target and counts the request there when it is admissible.
@@ -295,10 +295,10 @@
 // selectTarget calls choose with the table and counts the request at the chosen target when
 // it is admissible there. It holds the table's lock for both steps.
 func (s *requestState) selectTarget(choose func(t *balance.Table) (balance.Choice, bool)) (c balance.Choice, ok bool) {
-	s.g.view.Table(func(t *balance.Table) {
+	s.g.view.WithTable(func(t *balance.Table) {
 		c, ok = choose(t)
 		if ok && s.admissible(c) {
-			t.Began(time.Now(), c.Instance.ID)
+			t.OnlineStarted(time.Now(), c.Instance.ID)
 		}
 	})
 	return c, ok
@@ -309,13 +309,13 @@
 	defer func() {
 		// The connection cannot be reused when the response was not read to its end.
 		reusable := s.outcome == outcomeServed
-		s.g.view.Table(func(t *balance.Table) { t.Ended(time.Now(), c.Instance.ID, reusable) })
+		s.g.view.WithTable(func(t *balance.Table) { t.OnlineEnded(time.Now(), c.Instance.ID, reusable) })
 	}()
 	s.sends++
 	s.sentAt, s.attemptEvents = time.Now(), 0
 	s.possibleRuns++ // until the target reports that it did not run the request
 	call := s.req.Call
-	call.After = max(call.After, s.lastEvent)
+	call.ResumeAfter = max(call.ResumeAfter, s.lastEvent)
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
 	queueWatchdog := newWatchdog(queuedThreshold, queuePollInterval, cancel, s.queueCheck(c))
@@ -330,7 +330,7 @@
 	case exchange.NotRun, exchange.OtherInstance:
 		return s.handleNotRun(c.Instance, ans)
 	case exchange.Failed:
-		s.updateHealth(c.Instance, balance.Doubted, "failed")
+		s.updateHealth(c.Instance, balance.Failed, "failed")
 		if s.mayRetry() {
 			s.logRetry("sent again after a failure", c.Instance, "status", ans.Status)
 			s.tried[c.Instance.ID] = true
@@ -341,7 +341,7 @@
 	if s.headerSent {
 		return s.resumeStream(ans, c, cancel)
 	}
-	if ans.Events && ans.Outcome == exchange.Done {
+	if ans.EventStream && ans.Outcome == exchange.Done {
 		return s.relayStream(ans, c, cancel)
 	}
 	return s.relayBody(ans, c)
@@ -350,16 +350,16 @@
 // mayRetry reports whether the request may be sent to one more target although it may
 // already have been run.
 func (s *requestState) mayRetry() bool {
-	return s.route.Repeatable() && s.possibleRuns < max(s.route.Attempts, 1) && s.sends < maxSends
+	return s.route.Retryable() && s.possibleRuns < max(s.route.Attempts, 1) && s.sends < maxSends
 }
 
 // updateHealth records a verdict on a target, and notifies other processes when the target
 // failed. The reason is used for the log and the metric of an ejection.
-func (s *requestState) updateHealth(in targets.Instance, v balance.Verdict, reason string) {
+func (s *requestState) updateHealth(in targets.Instance, v balance.Outcome, reason string) {
 	var ejected time.Duration
-	s.g.view.Table(func(t *balance.Table) { ejected = t.Judge(time.Now(), in.ID, v) })
-	if v == balance.Doubted || v == balance.Unfit {
-		s.g.notifier.Tell(in.ID)
+	s.g.view.WithTable(func(t *balance.Table) { ejected = t.RecordOutcome(time.Now(), in.ID, v) })
+	if v == balance.Failed || v == balance.Unreachable {
+		s.g.notifier.NotifyFailure(in.ID)
 	}
 	if ejected > 0 {
 		s.g.metrics.Count("ejected_" + reason)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -33,7 +33,7 @@
 func (decoder) CatalogKey() string { return "c" }
 
 func (d decoder) Catalog([]byte) (*catalog.Catalog, error) {
-	services := []catalog.Service{{Name: "s", ReserveFor: time.Second}}
+	services := []catalog.Service{{Name: "s", ReservationTTL: time.Second}}
 	return catalog.New(1, catalog.Limits{}, services, []catalog.Route{d.route}), nil
 }
 
@@ -42,7 +42,7 @@
 }
 
 // scriptedReply handles one call to a scripted target.
-type scriptedReply func(ctx context.Context, call *exchange.Call) (*exchange.Answer, error)
+type scriptedReply func(ctx context.Context, call *exchange.Call) (*exchange.Response, error)
 
 // scriptedSender is a Sender that plays its replies in order, whichever target a call is sent
 // to, and records the calls and their targets.
@@ -60,7 +60,7 @@
 	return s.to[0]
 }
 
-func (s *scriptedSender) Send(ctx context.Context, to targets.Instance, call *exchange.Call) (*exchange.Answer, error) {
+func (s *scriptedSender) Send(ctx context.Context, to targets.Instance, call *exchange.Call) (*exchange.Response, error) {
 	s.mu.Lock()
 	s.calls = append(s.calls, *call)
 	s.to = append(s.to, to.ID)
@@ -75,21 +75,21 @@
 }
 
 func respond(outcome exchange.Outcome, status int, body io.Reader, isStream bool) scriptedReply {
-	return func(context.Context, *exchange.Call) (*exchange.Answer, error) {
-		return &exchange.Answer{Outcome: outcome, Status: status, Header: http.Header{"Mark": {"1"}}, Body: io.NopCloser(body), Length: -1, Events: isStream}, nil
+	return func(context.Context, *exchange.Call) (*exchange.Response, error) {
+		return &exchange.Response{Outcome: outcome, Status: status, Header: http.Header{"Mark": {"1"}}, Body: io.NopCloser(body), ContentLength: -1, EventStream: isStream}, nil
 	}
 }
 
 // failBroken returns a reply whose connection breaks. Sent is whether the call may have reached
 // the target.
 func failBroken(sent bool) scriptedReply {
-	return func(context.Context, *exchange.Call) (*exchange.Answer, error) {
+	return func(context.Context, *exchange.Call) (*exchange.Response, error) {
 		return nil, &exchange.SendError{Fault: exchange.FaultBroken, Sent: sent, Cause: io.ErrUnexpectedEOF}
 	}
 }
 
 // neverAnswer is a reply that does not come before the call's context ends.
-func neverAnswer(ctx context.Context, _ *exchange.Call) (*exchange.Answer, error) {
+func neverAnswer(ctx context.Context, _ *exchange.Call) (*exchange.Response, error) {
 	<-ctx.Done()
 	return nil, &exchange.SendError{Fault: exchange.FaultCanceled, Sent: true, Cause: ctx.Err()}
 }
@@ -145,7 +145,7 @@
 	notifier   *recordingNotifier
 	reserver   *fakeReserver
 	prober     *fakeProber
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Tracker
 	view       *fleet.View
 	gw         *gateway.Gateway
 	sender     *scriptedSender
@@ -175,7 +175,7 @@
 	ids []string
 }
 
-func (n *recordingNotifier) Tell(id string) {
+func (n *recordingNotifier) NotifyFailure(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.ids = append(n.ids, id)
@@ -199,12 +199,12 @@
 	return p.crashed[in.ID]
 }
 
-func newGateway(v *fleet.View, sender exchange.Sender, reserver exchange.Reserver, notifier gateway.Witness, ms *metrics.Set) *gateway.Gateway {
-	return gatewayWith(quarantine.NewKeeper(quarantine.Config{Prober: &fakeProber{}, Metrics: ms}), v, sender, reserver, notifier, ms)
+func newGateway(v *fleet.View, sender exchange.Sender, reserver exchange.Reserver, notifier gateway.FailureNotifier, ms *metrics.Set) *gateway.Gateway {
+	return gatewayWith(quarantine.NewTracker(quarantine.Config{Prober: &fakeProber{}, Metrics: ms}), v, sender, reserver, notifier, ms)
 }
 
-func gatewayWith(k *quarantine.Keeper, v *fleet.View, sender exchange.Sender, reserver exchange.Reserver, notifier gateway.Witness, ms *metrics.Set) *gateway.Gateway {
-	return gateway.New(gateway.Config{View: v, Sender: sender, Reserver: reserver, Witness: notifier, Quarantine: k, Metrics: ms})
+func gatewayWith(k *quarantine.Tracker, v *fleet.View, sender exchange.Sender, reserver exchange.Reserver, notifier gateway.FailureNotifier, ms *metrics.Set) *gateway.Gateway {
+	return gateway.New(gateway.Config{View: v, Sender: sender, Reserver: reserver, FailureNotifier: notifier, Quarantine: k, Metrics: ms})
 }
 
 // newFixture returns a fixture with a route to a service of n targets.
@@ -225,7 +225,7 @@
 	sender := &scriptedSender{replies: replies}
 	notifier, reserver := &recordingNotifier{}, &fakeReserver{full: make(map[string]bool)}
 	prober := &fakeProber{crashed: make(map[string]bool)}
-	keeper := quarantine.NewKeeper(quarantine.Config{Prober: prober, Metrics: ms})
+	keeper := quarantine.NewTracker(quarantine.Config{Prober: prober, Metrics: ms})
 	return &fixture{notifier: notifier, reserver: reserver, prober: prober, quarantine: keeper, view: v, gw: gatewayWith(keeper, v, sender, reserver, notifier, ms), sender: sender}
 }
 
@@ -252,9 +252,9 @@
 
 var (
 	nonIdempotent = catalog.Route{Kind: catalog.NonIdempotent, Attempts: 2}
-	idempotent    = catalog.Route{Kind: catalog.Idempotent, Attempts: 2, FirstWithin: time.Second}
-	streaming     = catalog.Route{Kind: catalog.Streaming, Attempts: 2, FirstWithin: 300 * time.Millisecond, GapWithin: 300 * time.Millisecond}
-	resumable     = catalog.Route{Kind: catalog.Streaming, Attempts: 2, Resumable: true, FirstWithin: 300 * time.Millisecond, GapWithin: 300 * time.Millisecond}
+	idempotent    = catalog.Route{Kind: catalog.Idempotent, Attempts: 2, FirstEventWithin: time.Second}
+	streaming     = catalog.Route{Kind: catalog.Streaming, Attempts: 2, FirstEventWithin: 300 * time.Millisecond, EventGapWithin: 300 * time.Millisecond}
+	resumable     = catalog.Route{Kind: catalog.Streaming, Attempts: 2, Resumable: true, FirstEventWithin: 300 * time.Millisecond, EventGapWithin: 300 * time.Millisecond}
 )
 
 // inVirtualTime runs fn in a bubble of package synctest, with a fake clock.
@@ -311,7 +311,7 @@
 		other := respond(exchange.OtherInstance, 421, strings.NewReader(""), false)
 		f := newFixture(nonIdempotent, 2, other)
 		for range 20 {
-			f.sender.replies = append(f.sender.replies, func(ctx context.Context, call *exchange.Call) (*exchange.Answer, error) {
+			f.sender.replies = append(f.sender.replies, func(ctx context.Context, call *exchange.Call) (*exchange.Response, error) {
 				return respond(exchange.Done, 200, strings.NewReader("ok"), false)(ctx, call)
 			})
 		}
@@ -350,8 +350,8 @@
 	inVirtualTime(t, func(t *testing.T) {
 		f := newFixture(resumable, 3, respond(exchange.Done, 200, truncatedStream(1, 4), true), respond(exchange.Done, 200, strings.NewReader(eventStream(5, 9)), true))
 		c := f.serve(t.Context())
-		if c.body.String() != eventStream(1, 9) || c.aborted || f.sender.calls[1].After != 4 {
-			t.Fatalf("aborted %v, resumed after %d, body %q", c.aborted, f.sender.calls[1].After, c.body.String())
+		if c.body.String() != eventStream(1, 9) || c.aborted || f.sender.calls[1].ResumeAfter != 4 {
+			t.Fatalf("aborted %v, resumed after %d, body %q", c.aborted, f.sender.calls[1].ResumeAfter, c.body.String())
 		}
 	})
 }
@@ -379,8 +379,8 @@
 // A target's host becomes unreachable before the first event or between two. If only a broken
 // connection triggers failover, the caller waits for seconds.
 func TestFailoverFromSilentTarget(t *testing.T) {
-	stall := func(ctx context.Context, _ *exchange.Call) (*exchange.Answer, error) {
-		return &exchange.Answer{Status: 200, Body: io.NopCloser(stalledReader{strings.NewReader(eventStream(1, 3)), ctx}), Length: -1, Events: true}, nil
+	stall := func(ctx context.Context, _ *exchange.Call) (*exchange.Response, error) {
+		return &exchange.Response{Status: 200, Body: io.NopCloser(stalledReader{strings.NewReader(eventStream(1, 3)), ctx}), ContentLength: -1, EventStream: true}, nil
 	}
 	for name, f := range map[string]*fixture{
 		"before the first event": newFixture(resumable, 3, neverAnswer, respond(exchange.Done, 200, strings.NewReader(eventStream(1, 5)), true)),
@@ -394,7 +394,7 @@
 				t.Fatalf("%s: after %s got body %q", name, took, c.body.String())
 			}
 			ejected := false
-			f.view.Table(func(tab *balance.Table) { ejected = len(tab.Rooms(time.Now(), "s")) == 0 })
+			f.view.WithTable(func(tab *balance.Table) { ejected = len(tab.BatchTargets(time.Now(), "s")) == 0 })
 			if !ejected {
 				t.Fatalf("%s: the silent target still has seats for batch work", name)
 			}
@@ -408,12 +408,14 @@
 func TestBusyTargetIsNotEjected(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		f := newFixture(streaming, 1, neverAnswer)
-		f.view.Table(func(tab *balance.Table) { tab.Note(time.Now(), "i0", balance.Report{Active: 6, Slots: 8, Room: 2}) })
+		f.view.WithTable(func(tab *balance.Table) {
+			tab.UpdateLoad(time.Now(), "i0", balance.Report{Active: 6, Slots: 8, FreeSeats: 2})
+		})
 		ctx, cancel := context.WithTimeout(t.Context(), 400*time.Millisecond)
 		defer cancel()
 		f.serve(ctx)
-		f.view.Table(func(tab *balance.Table) {
-			if len(tab.Rooms(time.Now(), "s")) == 0 {
+		f.view.WithTable(func(tab *balance.Table) {
+			if len(tab.BatchTargets(time.Now(), "s")) == 0 {
 				t.Error("the busy target was ejected")
 			}
 		})
@@ -426,9 +428,9 @@
 func TestQueuedRequestMovesToFreeSlot(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		f := newFixture(resumable, 2, neverAnswer, respond(exchange.Done, 200, strings.NewReader(eventStream(1, 2)), true))
-		f.view.Table(func(tab *balance.Table) {
+		f.view.WithTable(func(tab *balance.Table) {
 			for _, id := range []string{"i0", "i1"} {
-				tab.Note(time.Now(), id, balance.Report{Active: 4, Slots: 8})
+				tab.UpdateLoad(time.Now(), id, balance.Report{Active: 4, Slots: 8})
 			}
 		})
 		began := time.Now()
@@ -444,9 +446,9 @@
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		f := newFixture(streaming, 2)
-		f.view.Table(func(tab *balance.Table) {
+		f.view.WithTable(func(tab *balance.Table) {
 			for _, id := range []string{"i0", "i1"} {
-				tab.Note(time.Now(), id, balance.Report{Active: 8, Queued: 12, Slots: 8})
+				tab.UpdateLoad(time.Now(), id, balance.Report{Active: 8, Queued: 12, Slots: 8})
 			}
 		})
 		began := time.Now()
@@ -528,16 +530,16 @@
 // another one, it finds the other queues too long and is refused although it may have run.
 func TestQueuedRequestDoesNotMoveToOtherQueue(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		slow := func(ctx context.Context, call *exchange.Call) (*exchange.Answer, error) {
+		slow := func(ctx context.Context, call *exchange.Call) (*exchange.Response, error) {
 			time.Sleep(700 * time.Millisecond)
 			return respond(exchange.Done, 200, strings.NewReader(eventStream(1, 2)), true)(ctx, call)
 		}
 		f := newFixture(resumable, 2, slow)
 		for at := range 8 {
 			time.AfterFunc(time.Duration(at)*100*time.Millisecond, func() {
-				f.view.Table(func(tab *balance.Table) {
+				f.view.WithTable(func(tab *balance.Table) {
 					for _, id := range []string{"i0", "i1"} {
-						tab.Note(time.Now(), id, balance.Report{Active: 8, Queued: 2 + 3*min(at, 1), Slots: 8})
+						tab.UpdateLoad(time.Now(), id, balance.Report{Active: 8, Queued: 2 + 3*min(at, 1), Slots: 8})
 					}
 				})
 			})
@@ -559,15 +561,15 @@
 	inVirtualTime(t, func(t *testing.T) {
 		good := respond(exchange.Done, 200, strings.NewReader(eventStream(1, 2)), true)
 		f := newFixture(resumable, 2, neverAnswer, good)
-		f.view.Table(func(tab *balance.Table) {
+		f.view.WithTable(func(tab *balance.Table) {
 			for _, id := range []string{"i0", "i1"} {
-				tab.Note(time.Now(), id, balance.Report{Active: 4, Slots: 8})
+				tab.UpdateLoad(time.Now(), id, balance.Report{Active: 4, Slots: 8})
 			}
 		})
 		f.serve(t.Context())
 		unreachable := f.sender.firstTarget()
 		for n := range 20 {
-			f.view.Table(func(tab *balance.Table) {
+			f.view.WithTable(func(tab *balance.Table) {
 				if c, ok := tab.Pick(time.Now(), "s", nil, float64(n)/20); !ok || c.Instance.ID == unreachable {
 					t.Errorf("draw %d chooses the unreachable target again", n)
 				}
@@ -579,9 +581,9 @@
 		f := newFixture(resumable, 2, neverAnswer, good)
 		go func() {
 			time.Sleep(20 * time.Millisecond)
-			f.view.Table(func(tab *balance.Table) {
+			f.view.WithTable(func(tab *balance.Table) {
 				for _, id := range []string{"i0", "i1"} {
-					tab.Note(time.Now(), id, balance.Report{Silent: id == f.sender.firstTarget()})
+					tab.UpdateLoad(time.Now(), id, balance.Report{Silent: id == f.sender.firstTarget()})
 				}
 			})
 		}()
@@ -605,16 +607,16 @@
 		for _, id := range []string{"i0", "i1"} {
 			f.reserver.full[id] = true
 		}
-		f.view.Table(func(tab *balance.Table) {
+		f.view.WithTable(func(tab *balance.Table) {
 			for _, id := range []string{"i0", "i1", "i2"} {
-				tab.Note(time.Now(), id, balance.Report{Active: 7, Slots: 8})
+				tab.UpdateLoad(time.Now(), id, balance.Report{Active: 7, Slots: 8})
 			}
 		})
 		if c := f.serve(t.Context()); c.body.String() != eventStream(1, 2) {
 			t.Fatalf("body %q", c.body.String())
 		}
-		if len(f.sender.to) != 1 || f.sender.to[0] != "i2" || f.sender.calls[0].Reserved != "slot-i2" {
-			t.Errorf("sent to %v with reservation %q", f.sender.to, f.sender.calls[0].Reserved)
+		if len(f.sender.to) != 1 || f.sender.to[0] != "i2" || f.sender.calls[0].ReservedSlot != "slot-i2" {
+			t.Errorf("sent to %v with reservation %q", f.sender.to, f.sender.calls[0].ReservedSlot)
 		}
 	})
 }
@@ -627,7 +629,7 @@
 		good := respond(exchange.Done, 200, strings.NewReader(eventStream(1, 2)), true)
 		f := newFixture(resumable, 3, good, good)
 		report := func(active int) {
-			f.view.Table(func(tab *balance.Table) { tab.Note(time.Now(), "i0", balance.Report{Active: active, Slots: 8}) })
+			f.view.WithTable(func(tab *balance.Table) { tab.UpdateLoad(time.Now(), "i0", balance.Report{Active: active, Slots: 8}) })
 		}
 		report(2)
 		if f.serve(t.Context()); f.sender.to[0] != "i0" || len(f.reserver.asked) != 0 {
@@ -635,8 +637,8 @@
 		}
 		report(8)
 		f.reserver.full["i1"] = true
-		if f.serve(t.Context()); f.sender.to[1] != "i2" || f.sender.calls[1].Reserved != "slot-i2" {
-			t.Errorf("sent to %v with reservation %q; i0 and i1 are full, i2 has a free slot", f.sender.to, f.sender.calls[1].Reserved)
+		if f.serve(t.Context()); f.sender.to[1] != "i2" || f.sender.calls[1].ReservedSlot != "slot-i2" {
+			t.Errorf("sent to %v with reservation %q; i0 and i1 are full, i2 has a free slot", f.sender.to, f.sender.calls[1].ReservedSlot)
 		}
 	})
 }
@@ -648,7 +650,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		good := respond(exchange.Done, 200, strings.NewReader(eventStream(1, 2)), true)
 		f := newFixture(resumable, 12, good)
-		f.view.Table(func(tab *balance.Table) { tab.Note(time.Now(), "i0", balance.Report{Active: 8, Slots: 8}) })
+		f.view.WithTable(func(tab *balance.Table) { tab.UpdateLoad(time.Now(), "i0", balance.Report{Active: 8, Slots: 8}) })
 		for n := range 12 {
 			f.reserver.full[fmt.Sprint("i", n)] = true
 		}
@@ -663,7 +665,7 @@
 // that has just reserved a slot, or that its agent reports as silent, counts as silent.
 func TestWaitingAtUnreportedTargetIsNotSilence(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		never := func(ctx context.Context, _ *exchange.Call) (*exchange.Answer, error) {
+		never := func(ctx context.Context, _ *exchange.Call) (*exchange.Response, error) {
 			<-ctx.Done()
 			return nil, &exchange.SendError{Fault: exchange.FaultCanceled, Sent: true, Cause: ctx.Err()}
 		}
--- a/gateway/overload.go
+++ b/gateway/overload.go
@@ -37,10 +37,10 @@
 	switch {
 	case s.possibleRuns > 0:
 		return true
-	case s.isRetry || !s.hasDeadline || s.route.FirstWithin <= 0:
-		return c.Useful()
+	case s.isRetry || !s.hasDeadline || s.route.FirstEventWithin <= 0:
+		return c.QueueBelowLimit()
 	}
-	return c.Within(time.Duration(maxWaitShare * float64(s.route.FirstWithin)))
+	return c.FreeWithin(time.Duration(maxWaitShare * float64(s.route.FirstEventWithin)))
 }
 
 // retryAfter returns how long a refused caller should wait before it retries.
@@ -58,7 +58,7 @@
 	if s.outcome != outcomeServed || s.sends != 1 || s.choice.Wait > 0 {
 		return
 	}
-	s.g.view.Table(func(t *balance.Table) { t.NoteHold(s.service, now.Sub(s.sentAt)) })
+	s.g.view.WithTable(func(t *balance.Table) { t.ObserveHoldTime(s.service, now.Sub(s.sentAt)) })
 }
 
 // timeoutTracker tracks the longest timeout that callers of each route send. It tells first
