--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -17,7 +17,9 @@
 		good := respond(exchange.Done, 200, strings.NewReader(eventStream(1, 2)), true)
 		f := newFixture(resumable, 1, good)
 		f.reserver.full["i0"] = true
-		f.view.Table(func(tab *balance.Table) { tab.Note(time.Now(), "i0", balance.Report{Active: 8, Queued: 2, Slots: 8}) })
+		f.view.WithTable(func(tab *balance.Table) {
+			tab.UpdateLoad(time.Now(), "i0", balance.Report{Active: 8, Queued: 2, Slots: 8})
+		})
 
 		const timeout = 3 * time.Second
 		first := f.serveWithin(t.Context(), timeout)
@@ -39,7 +41,7 @@
 func TestShortQueueAdmitsFirstAttempts(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		f := newFixture(resumable, 1, respond(exchange.Done, 200, strings.NewReader(eventStream(1, 2)), true))
-		f.view.Table(func(tab *balance.Table) { tab.Note(time.Now(), "i0", balance.Report{Active: 8, Slots: 8}) })
+		f.view.WithTable(func(tab *balance.Table) { tab.UpdateLoad(time.Now(), "i0", balance.Report{Active: 8, Slots: 8}) })
 		if c := f.serveWithin(t.Context(), 3*time.Second); c.body.String() != eventStream(1, 2) {
 			t.Errorf("got refusal %+v", c.refusal)
 		}
@@ -53,7 +55,9 @@
 		f := newFixture(resumable, 1)
 		f.reserver.full["i0"] = true
 		refused := func(within time.Duration) bool {
-			f.view.Table(func(tab *balance.Table) { tab.Note(time.Now(), "i0", balance.Report{Active: 8, Queued: 2, Slots: 8}) })
+			f.view.WithTable(func(tab *balance.Table) {
+				tab.UpdateLoad(time.Now(), "i0", balance.Report{Active: 8, Queued: 2, Slots: 8})
+			})
 			return f.serveWithin(t.Context(), within).refusal != nil
 		}
 		refused(3 * time.Second)
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -20,7 +20,7 @@
 func (f *fixture) crashElsewhere(ids ...string) {
 	for _, id := range ids {
 		f.prober.crash(id)
-		f.quarantine.Broke(context.Background(), quarantine.Run{Key: testKey, Target: targets.Instance{ID: id}})
+		f.quarantine.RecordBroken(context.Background(), quarantine.Run{Key: testKey, Target: targets.Instance{ID: id}})
 	}
 }
 
@@ -32,7 +32,7 @@
 
 // crashOnReceive returns the reply of a target that crashes as soon as it has the request.
 func (f *fixture) crashOnReceive() scriptedReply {
-	return func(context.Context, *exchange.Call) (*exchange.Answer, error) {
+	return func(context.Context, *exchange.Call) (*exchange.Response, error) {
 		f.sender.mu.Lock()
 		id := f.sender.to[len(f.sender.to)-1]
 		f.sender.mu.Unlock()
@@ -51,7 +51,7 @@
 		time.Sleep(delay) // past the time in which other processes may still clear the request
 		began := time.Now()
 		c := f.serve(t.Context())
-		if c.refusal == nil || c.refusal.Reason != gateway.Quarantined || !c.refusal.NotRun || c.refusal.RetryAfter != quarantine.HoldFor-delay {
+		if c.refusal == nil || c.refusal.Reason != gateway.Quarantined || !c.refusal.NotRun || c.refusal.RetryAfter != quarantine.HoldDuration-delay {
 			t.Fatalf("refusal %+v", c.refusal)
 		}
 		if took := time.Since(began); took > 0 {
@@ -106,7 +106,7 @@
 		for range 3 {
 			f.serve(t.Context())
 		}
-		if all := f.quarantine.Cases(); len(all) > 0 {
+		if all := f.quarantine.Suspects(); len(all) > 0 {
 			t.Errorf("crashes counted: %+v", all)
 		}
 	})
@@ -119,7 +119,7 @@
 	inVirtualTime(t, func(t *testing.T) {
 		f := newFixture(idempotent, 3, respond(exchange.Done, 200, strings.NewReader("ok"), false))
 		f.crashElsewhere("x", "y", "z")
-		time.AfterFunc(50*time.Millisecond, func() { f.quarantine.Served(testKey) })
+		time.AfterFunc(50*time.Millisecond, func() { f.quarantine.RecordSuccess(testKey) })
 		if c := f.serve(t.Context()); c.body.String() != "ok" {
 			t.Fatalf("refusal %+v", c.refusal)
 		}
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -28,7 +28,7 @@
 // reservation. It reports false when a reservation is not possible or not needed, and when no
 // target was chosen.
 func (s *requestState) pickAndReserve() (balance.Choice, bool) {
-	s.req.Reserved = ""
+	s.req.ReservedSlot = ""
 	if !s.canReserve() {
 		return balance.Choice{}, false
 	}
@@ -36,26 +36,26 @@
 	for range maxReserveAttempts {
 		var c balance.Choice
 		var ok bool
-		s.g.view.Table(func(t *balance.Table) { c, ok = t.Pick(time.Now(), s.service, avoid, rand.Float64()) })
-		if !ok || !c.WorthReserving() {
+		s.g.view.WithTable(func(t *balance.Table) { c, ok = t.Pick(time.Now(), s.service, avoid, rand.Float64()) })
+		if !ok || !c.ShouldReserve() {
 			return c, false
 		}
-		s.g.view.Table(func(t *balance.Table) { t.Began(time.Now(), c.Instance.ID) })
+		s.g.view.WithTable(func(t *balance.Table) { t.OnlineStarted(time.Now(), c.Instance.ID) })
 		ctx, cancel := context.WithTimeout(s.ctx, reserveTimeout)
 		name, err := s.g.reserver.Reserve(ctx, c.Instance, s.req.Tokens, reservationTTL)
 		cancel()
 		if err == nil {
-			s.req.Reserved = name
+			s.req.ReservedSlot = name
 			s.g.metrics.Count("slot_reserved")
 			return c, true
 		}
 		s.g.metrics.Count("slot_not_reserved")
-		s.g.view.Table(func(t *balance.Table) {
-			t.Ended(time.Now(), c.Instance.ID, true)
+		s.g.view.WithTable(func(t *balance.Table) {
+			t.OnlineEnded(time.Now(), c.Instance.ID, true)
 			if errors.Is(err, exchange.ErrFull) {
-				t.Full(c.Instance.ID)
+				t.ReserveFailed(c.Instance.ID)
 			} else {
-				t.Judge(time.Now(), c.Instance.ID, balance.Late)
+				t.RecordOutcome(time.Now(), c.Instance.ID, balance.Slow)
 			}
 		})
 		avoid[c.Instance.ID] = true
@@ -70,5 +70,5 @@
 // known, and its service must support reservations of reservationTTL.
 func (s *requestState) canReserve() bool {
 	cat := s.g.view.Catalog()
-	return cat != nil && s.req.Tokens > 0 && cat.Services[s.service].ReserveFor >= reservationTTL
+	return cat != nil && s.req.Tokens > 0 && cat.Services[s.service].ReservationTTL >= reservationTTL
 }
--- a/gateway/waiting.go
+++ b/gateway/waiting.go
@@ -11,23 +11,23 @@
 // firstEventTimeout returns how long a target may take to start its response before it
 // counts as silent.
 func (s *requestState) firstEventTimeout(c balance.Choice) time.Duration {
-	if s.route.FirstWithin <= 0 {
+	if s.route.FirstEventWithin <= 0 {
 		return defaultSilenceTimeout
 	}
 	waiting := c.Waiting
 	if c.Load >= c.Instance.Slots {
 		waiting++
 	}
-	return time.Duration(firstEventShare*float64(s.route.FirstWithin)) + time.Duration(waiting)*timeoutPerWaiting
+	return time.Duration(firstEventShare*float64(s.route.FirstEventWithin)) + time.Duration(waiting)*timeoutPerWaiting
 }
 
 // gapTimeout returns how long a stream may pause between events before its target counts as
 // silent.
 func (s *requestState) gapTimeout() time.Duration {
-	if s.route.GapWithin <= 0 {
+	if s.route.EventGapWithin <= 0 {
 		return defaultSilenceTimeout
 	}
-	return time.Duration(eventGapShare * float64(s.route.GapWithin))
+	return time.Duration(eventGapShare * float64(s.route.EventGapWithin))
 }
 
 // queueCheck returns the watchdog's check of a request that has no response yet. The check
@@ -39,9 +39,9 @@
 	return func() bool {
 		now, free := time.Now(), false
 		idle := false
-		s.g.view.Table(func(t *balance.Table) {
-			free = t.MayMove(now, s.service, c.Instance.ID, rand.Float64())
-			idle = t.HasFree(now, c.Instance.ID)
+		s.g.view.WithTable(func(t *balance.Table) {
+			free = t.ShouldMove(now, s.service, c.Instance.ID, rand.Float64())
+			idle = t.HasFreeSlot(now, c.Instance.ID)
 		})
 		silent := now.Sub(sent) >= s.firstEventTimeout(c) && !s.reportedAlive(c.Instance) || s.reportedSilent(c.Instance)
 		if silent && !recorded {
@@ -51,7 +51,7 @@
 		if free && idle {
 			// The target has a free slot and did not start the request, so it may be
 			// unreachable. The next request should not spend one of its attempts there too.
-			s.updateHealth(c.Instance, balance.Late, "late")
+			s.updateHealth(c.Instance, balance.Slow, "late")
 		}
 		return s.mayRetry() && (free || silent)
 	}
@@ -60,22 +60,22 @@
 // silenceVerdict returns the verdict on a target whose response does not start. When the
 // target's load is not reported and no slot is reserved, the request may just be queued
 // there: ejecting such targets at peak load leaves fewer and fewer for all requests.
-func (s *requestState) silenceVerdict(c balance.Choice) balance.Verdict {
-	if c.Reported() || s.req.Reserved != "" {
-		return balance.Unfit
+func (s *requestState) silenceVerdict(c balance.Choice) balance.Outcome {
+	if c.Reported() || s.req.ReservedSlot != "" {
+		return balance.Unreachable
 	}
-	return balance.Late
+	return balance.Slow
 }
 
 // reportedSilent reports whether a target's agent says that the target does not respond.
 func (s *requestState) reportedSilent(in targets.Instance) (silent bool) {
-	s.g.view.Table(func(t *balance.Table) { silent = t.Silent(time.Now(), in.ID) })
+	s.g.view.WithTable(func(t *balance.Table) { silent = t.Silent(time.Now(), in.ID) })
 	return silent
 }
 
 // reportedAlive reports whether a target's agent has recently reported it as responding.
 func (s *requestState) reportedAlive(in targets.Instance) (alive bool) {
-	s.g.view.Table(func(t *balance.Table) { alive = t.Alive(time.Now(), in.ID) })
+	s.g.view.WithTable(func(t *balance.Table) { alive = t.Alive(time.Now(), in.ID) })
 	return alive
 }
 
@@ -86,5 +86,5 @@
 		s.g.metrics.Count("slow_answer")
 		return
 	}
-	s.updateHealth(in, balance.Unfit, "silent")
+	s.updateHealth(in, balance.Unreachable, "silent")
 }
--- a/jobroute/jobroute.go
+++ b/jobroute/jobroute.go
@@ -72,13 +72,13 @@
 
 // Config holds the dependencies of a Router.
 type Config struct {
-	Self        string // member address of this process in the group
-	Local       Local
-	StoreAway   func() bool // reports whether this process cannot reach the store at all
-	PartitionOf func(job string) int
-	Remote      Remote
-	Log         logging.Logger
-	Metrics     *metrics.Set
+	Self             string // member address of this process in the group
+	Local            Local
+	StoreUnavailable func() bool // reports whether this process cannot reach the store at all
+	PartitionOf      func(job string) int
+	Remote           Remote
+	Log              logging.Logger
+	Metrics          *metrics.Set
 }
 
 // Router is a Service that forwards each call to the owner of the job's partition or to
@@ -170,7 +170,7 @@
 		if ok {
 			unsure = reply
 		}
-		if ctx.Err() != nil || r.cfg.StoreAway() {
+		if ctx.Err() != nil || r.cfg.StoreUnavailable() {
 			break
 		}
 		timeout = callTimeout
@@ -240,11 +240,11 @@
 	return markIfSent(serveLocal(), sent)
 }
 
-// markIfSent marks an error that says nothing was written as jobstore.ErrUnknownEffect if
+// markIfSent marks an error that says nothing was written as jobstore.ErrOutcomeUnknown if
 // another process may have executed the call before.
 func markIfSent(err error, sent bool) error {
-	if err != nil && sent && errors.Is(err, jobstore.ErrUnsure) {
-		return errors.Mark(err, jobstore.ErrUnknownEffect)
+	if err != nil && sent && errors.Is(err, jobstore.ErrStoreUnavailable) {
+		return errors.Mark(err, jobstore.ErrOutcomeUnknown)
 	}
 	return err
 }
@@ -259,7 +259,7 @@
 
 // checkLocal returns the error for a call that cannot be served locally, or nil if it can.
 func (r *Router) checkLocal(job string) error {
-	if canServeLocally(r.cfg.Local, r.cfg.StoreAway, job) {
+	if canServeLocally(r.cfg.Local, r.cfg.StoreUnavailable, job) {
 		return nil
 	}
 	err := r.cfg.Local.Unavailable()
--- a/jobroute/jobroute_test.go
+++ b/jobroute/jobroute_test.go
@@ -80,13 +80,13 @@
 	}
 	for i := range count {
 		p := &process{name: fmt.Sprint("p", i)}
-		p.jobs = jobstore.New(ctx, s.For(p.name), jobstore.Settings{
-			Topic: topic, ProgressTopic: "progress", Partitions: numPartitions, CallBytes: 2 << 20, Keep: time.Minute,
+		p.jobs = jobstore.New(ctx, s.ClientFor(p.name), jobstore.Settings{
+			Topic: topic, ProgressTopic: "progress", Partitions: numPartitions, MaxAppendBytes: 2 << 20, Retention: time.Minute,
 		}, logging.Logger{})
 		unavailable := func() bool { return p.mode.Load() == storeUnreachable }
-		p.server = &jobroute.Server{Local: p.jobs, StoreAway: unavailable, Reaches: func() bool { return !unavailable() }}
+		p.server = &jobroute.Server{Local: p.jobs, StoreUnavailable: unavailable, HasDirectStore: func() bool { return !unavailable() }}
 		p.router = jobroute.New(jobroute.Config{
-			Self: p.name, Local: p.jobs, StoreAway: unavailable, PartitionOf: p.jobs.PartitionOf, Remote: all, Metrics: metrics.New(p.name),
+			Self: p.name, Local: p.jobs, StoreUnavailable: unavailable, PartitionOf: p.jobs.PartitionOf, Remote: all, Metrics: metrics.New(p.name),
 		})
 		p.router.SetOwners(topic, owners)
 		all[p.name] = p
@@ -136,7 +136,7 @@
 					t.Fatalf("%s: body %q, %v", p.name, body, err)
 				}
 			}
-			if err := all[0].jobs.List(ctx, all[0].jobs.PartitionOf(id), []jobs.Outcome{{Job: id, Text: []byte("text")}}); err != nil {
+			if err := all[0].jobs.RecordOutcomes(ctx, all[0].jobs.PartitionOf(id), []jobs.Outcome{{Job: id, Text: []byte("text")}}); err != nil {
 				t.Fatal(err)
 			}
 			if res, err := all[n+1].router.Results(ctx, id, 0, 0); err != nil || len(res.Items) != 1 || string(res.Items[0].Text) != "text" {
@@ -144,14 +144,14 @@
 			}
 		}
 		for _, p := range all[1:] {
-			if p.jobs.Followed() != 0 {
-				t.Errorf("%s follows %d partitions", p.name, p.jobs.Followed())
+			if p.jobs.FollowedPartitions() != 0 {
+				t.Errorf("%s follows %d partitions", p.name, p.jobs.FollowedPartitions())
 			}
 		}
 		const maxCalls = 200
-		t.Logf("%d store calls", s.Calls())
-		if s.Calls() > maxCalls {
-			t.Errorf("%d store calls, more than allowed", s.Calls())
+		t.Logf("%d store calls", s.CallCount())
+		if s.CallCount() > maxCalls {
+			t.Errorf("%d store calls, more than allowed", s.CallCount())
 		}
 	})
 }
@@ -204,7 +204,7 @@
 				t.Fatal("job accepted although the store refuses calls")
 			}
 			mayRun := mode == responseLost
-			if errors.Is(err, jobstore.ErrUnknownEffect) != mayRun {
+			if errors.Is(err, jobstore.ErrOutcomeUnknown) != mayRun {
 				t.Errorf("mode %d: %v", mode, err)
 			}
 		})
@@ -230,7 +230,7 @@
 			end := all[11].router.End(ctx, "job")
 			for what, err := range map[string]error{"accept": accept, "end": end} {
 				mayRun := mode == responseLost && what == "accept"
-				if err == nil || errors.Is(err, jobstore.ErrUnknownEffect) != mayRun {
+				if err == nil || errors.Is(err, jobstore.ErrOutcomeUnknown) != mayRun {
 					t.Errorf("mode %d, %s: %v", mode, what, err)
 				}
 			}
@@ -242,10 +242,10 @@
 func TestForwardsRepliesUnchanged(t *testing.T) {
 	runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
 		r := startProcesses(ctx, s, 2)[1].router
-		if _, err := r.Results(ctx, "job", 0, 0); !errors.Is(err, jobstore.ErrUnknownJob) {
+		if _, err := r.Results(ctx, "job", 0, 0); !errors.Is(err, jobstore.ErrJobNotFound) {
 			t.Errorf("results of an unknown job: %v", err)
 		}
-		if err := r.End(ctx, "job"); !errors.Is(err, jobstore.ErrUnknownJob) {
+		if err := r.End(ctx, "job"); !errors.Is(err, jobstore.ErrJobNotFound) {
 			t.Errorf("end of an unknown job: %v", err)
 		}
 		if err := r.Accept(ctx, newSpec("job")); err != nil {
@@ -253,17 +253,17 @@
 		}
 		other := newSpec("job")
 		other.Items[0].Body = []byte("other")
-		if err := r.Accept(ctx, other); !errors.Is(err, jobstore.ErrOtherJob) {
+		if err := r.Accept(ctx, other); !errors.Is(err, jobstore.ErrJobConflict) {
 			t.Errorf("other job with the same ID: %v", err)
 		}
-		if _, err := r.Body(ctx, "job", "none"); !errors.Is(err, jobstore.ErrUnknownJob) {
+		if _, err := r.Body(ctx, "job", "none"); !errors.Is(err, jobstore.ErrJobNotFound) {
 			t.Errorf("body of an unknown item: %v", err)
 		}
 		for n := range numPartitions {
-			s.SetDown(store.Partition{Topic: topic, Number: n}, true)
+			s.SetPartitionDown(store.Partition{Topic: topic, Number: n}, true)
 		}
-		var away *jobstore.AwayError
-		if err := r.Accept(ctx, newSpec("late")); !errors.As(err, &away) || away.ComeBack <= 0 || errors.Is(err, jobstore.ErrUnknownEffect) {
+		var away *jobstore.UnavailableError
+		if err := r.Accept(ctx, newSpec("late")); !errors.As(err, &away) || away.RetryAfter <= 0 || errors.Is(err, jobstore.ErrOutcomeUnknown) {
 			t.Errorf("store unavailable: %v", err)
 		}
 	})
@@ -280,18 +280,18 @@
 		if err := other.router.Accept(ctx, newSpec("job")); err != nil {
 			t.Fatal(err)
 		}
-		if err := owner.jobs.List(ctx, owner.jobs.PartitionOf("job"), []jobs.Outcome{{Job: "job", Text: []byte("text")}}); err != nil {
+		if err := owner.jobs.RecordOutcomes(ctx, owner.jobs.PartitionOf("job"), []jobs.Outcome{{Job: "job", Text: []byte("text")}}); err != nil {
 			t.Fatal(err)
 		}
 		for _, p := range all {
-			s.SetFault(p.name, sharedstore.Silent)
+			s.SetFault(p.name, sharedstore.NoResponse)
 		}
 		owner.mode.Store(storeUnreachable)
 		res, err := other.router.Results(ctx, "job", 0, time.Second)
 		if err != nil || len(res.Items) != 1 || string(res.Items[0].Text) != "text" {
 			t.Errorf("got results %+v, %v", res, err)
 		}
-		if err := other.router.Accept(ctx, newSpec("next")); !errors.Is(err, jobstore.ErrUnsure) && !errors.Is(err, jobstore.ErrUnknownEffect) {
+		if err := other.router.Accept(ctx, newSpec("next")); !errors.Is(err, jobstore.ErrStoreUnavailable) && !errors.Is(err, jobstore.ErrOutcomeUnknown) {
 			t.Errorf("accept while the store does not answer: %v", err)
 		}
 	})
@@ -309,7 +309,7 @@
 		}
 		s.SetFault(owner.name, sharedstore.Refuse)
 		time.Sleep(10 * time.Second)
-		if err := third.jobs.List(ctx, third.jobs.PartitionOf("job"), []jobs.Outcome{{Job: "job", Text: []byte("text")}}); err != nil {
+		if err := third.jobs.RecordOutcomes(ctx, third.jobs.PartitionOf("job"), []jobs.Outcome{{Job: "job", Text: []byte("text")}}); err != nil {
 			t.Fatal(err)
 		}
 		res, err := other.router.Results(ctx, "job", 0, 0)
@@ -349,16 +349,16 @@
 		time.Sleep(2 * time.Second)
 		setMode(s, all, sharedstore.Refuse, storeUnreachable)
 		time.Sleep(outage)
-		setMode(s, all, sharedstore.None, serving)
+		setMode(s, all, sharedstore.NoFault, serving)
 		const recoveryTime = 3 * time.Second
 		time.Sleep(recoveryTime)
 		failed.reset()
-		calls := s.Calls()
+		calls := s.CallCount()
 		time.Sleep(time.Second)
 		if n := failed.reset(); n > 0 {
 			t.Errorf("%d reads failed within a second, %s after the outage", n, recoveryTime)
 		}
-		if n := s.Calls() - calls; n > readsPerSecond {
+		if n := s.CallCount() - calls; n > readsPerSecond {
 			t.Errorf("%d store calls in that second, more than its rate", n)
 		}
 	})
@@ -390,11 +390,11 @@
 		}
 		setMode(s, all, sharedstore.Refuse, storeUnreachable)
 		time.Sleep(outage)
-		setMode(s, all, sharedstore.None, serving)
+		setMode(s, all, sharedstore.NoFault, serving)
 		time.Sleep(3 * time.Second)
 		followed := 0
 		for _, p := range all {
-			followed += p.jobs.Followed()
+			followed += p.jobs.FollowedPartitions()
 		}
 		// The owner and the backup follow a partition, and at times a second backup, since
 		// processes that have just declined a call are avoided.
@@ -418,7 +418,7 @@
 		all[part].mode.Store(unreachable)
 		before := 0
 		for _, p := range all {
-			before += p.jobs.Followed()
+			before += p.jobs.FollowedPartitions()
 		}
 		for n, p := range all {
 			if n == part {
@@ -430,7 +430,7 @@
 		}
 		after := 0
 		for _, p := range all {
-			after += p.jobs.Followed()
+			after += p.jobs.FollowedPartitions()
 		}
 		if after > before+1 {
 			t.Errorf("%d more partitions are followed, want at most 1", after-before)
@@ -478,7 +478,7 @@
 func (p *process) keepPartitionsOpen(ctx context.Context) {
 	for wait.For(ctx, 100*time.Millisecond) == nil {
 		for number := range numPartitions {
-			p.jobs.Open(number)
+			p.jobs.OpenItems(number)
 		}
 	}
 }
--- a/jobroute/reply.go
+++ b/jobroute/reply.go
@@ -12,21 +12,21 @@
 
 // Server executes calls that other processes forward.
 type Server struct {
-	Local     Local
-	StoreAway func() bool // reports whether this process cannot reach the store at all
+	Local            Local
+	StoreUnavailable func() bool // reports whether this process cannot reach the store at all
 	// Reaches reports whether this process reaches the store directly. While it does not,
 	// it declines writes, which the calling process may be able to do itself. It still
 	// serves results that it knows, since during an outage no other process may have them.
-	Reaches func() bool
+	HasDirectStore func() bool
 }
 
 // Serve executes one call. It never forwards the call, so that two processes which take
 // each other for the owner do not loop.
 func (s *Server) Serve(ctx context.Context, call *wire.JobCall) *wire.JobReply {
-	if isWrite(call) && !s.Reaches() {
+	if isWrite(call) && !s.HasDirectStore() {
 		return &wire.JobReply{Outcome: wire.JobReply_DECLINED}
 	}
-	if !canServeLocally(s.Local, s.StoreAway, jobID(call)) {
+	if !canServeLocally(s.Local, s.StoreUnavailable, jobID(call)) {
 		return encodeReply(s.Local.Unavailable())
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.GetTimeoutMs())*time.Millisecond)
@@ -90,9 +90,9 @@
 // encodeReply returns a reply with the outcome that err stands for, and without results.
 func encodeReply(err error) *wire.JobReply {
 	out := &wire.JobReply{Outcome: encodeOutcome(err)}
-	var away *jobstore.AwayError
+	var away *jobstore.UnavailableError
 	if errors.As(err, &away) {
-		out.Away, out.ComeBackMs = true, uint32(away.ComeBack.Milliseconds())
+		out.Away, out.ComeBackMs = true, uint32(away.RetryAfter.Milliseconds())
 	}
 	return out
 }
@@ -101,11 +101,11 @@
 	switch {
 	case err == nil:
 		return wire.JobReply_DONE
-	case errors.Is(err, jobstore.ErrUnknownJob):
+	case errors.Is(err, jobstore.ErrJobNotFound):
 		return wire.JobReply_UNKNOWN_JOB
-	case errors.Is(err, jobstore.ErrOtherJob):
+	case errors.Is(err, jobstore.ErrJobConflict):
 		return wire.JobReply_OTHER_JOB
-	case errors.Is(err, jobstore.ErrUnsure) && !errors.Is(err, jobstore.ErrUnknownEffect):
+	case errors.Is(err, jobstore.ErrStoreUnavailable) && !errors.Is(err, jobstore.ErrOutcomeUnknown):
 		return wire.JobReply_UNSURE
 	}
 	// Unrecognised errors too: the caller must not conclude that nothing was written.
@@ -120,18 +120,18 @@
 func decodeError(r *wire.JobReply) error {
 	cause := errRemoteFailed
 	if r.GetAway() {
-		cause = &jobstore.AwayError{ComeBack: time.Duration(r.GetComeBackMs()) * time.Millisecond}
+		cause = &jobstore.UnavailableError{RetryAfter: time.Duration(r.GetComeBackMs()) * time.Millisecond}
 	}
 	switch r.GetOutcome() {
 	case wire.JobReply_DONE:
 		return nil
 	case wire.JobReply_UNKNOWN_JOB:
-		return jobstore.ErrUnknownJob
+		return jobstore.ErrJobNotFound
 	case wire.JobReply_OTHER_JOB:
-		return jobstore.ErrOtherJob
+		return jobstore.ErrJobConflict
 	case wire.JobReply_UNSURE:
-		return errors.Mark(cause, jobstore.ErrUnsure)
+		return errors.Mark(cause, jobstore.ErrStoreUnavailable)
 	case wire.JobReply_UNKNOWN_EFFECT, wire.JobReply_DECLINED:
 	}
-	return errors.Mark(cause, jobstore.ErrUnknownEffect)
+	return errors.Mark(cause, jobstore.ErrOutcomeUnknown)
 }
--- a/jobs/decide.go
+++ b/jobs/decide.go
@@ -119,9 +119,9 @@
 	return out
 }
 
-// Same reports whether two specs ask for the same work. It ignores when they were accepted
+// SameWork reports whether two specs ask for the same work. It ignores when they were accepted
 // and where they run, because a client that got no answer sends its job again later.
-func Same(a, b *wire.JobSpec) bool {
+func SameWork(a, b *wire.JobSpec) bool {
 	if a.GetHost() != b.GetHost() || a.GetPath() != b.GetPath() || len(a.GetItems()) != len(b.GetItems()) {
 		return false
 	}
--- a/jobstore/accept.go
+++ b/jobstore/accept.go
@@ -43,16 +43,16 @@
 	probeTimeout       = 300 * time.Millisecond
 )
 
-// AwayError is returned while the job store is unavailable. It is marked as ErrUnsure
-// when nothing was written, and as ErrUnknownEffect otherwise.
-type AwayError struct {
-	// ComeBack is how long the caller should wait before a retry.
-	ComeBack time.Duration
+// UnavailableError is returned while the job store is unavailable. It is marked as ErrStoreUnavailable
+// when nothing was written, and as ErrOutcomeUnknown otherwise.
+type UnavailableError struct {
+	// RetryAfter is how long the caller should wait before a retry.
+	RetryAfter time.Duration
 }
 
 // Error implements error.
-func (e *AwayError) Error() string {
-	return "job store is unavailable; retry after " + e.ComeBack.String()
+func (e *UnavailableError) Error() string {
+	return "job store is unavailable; retry after " + e.RetryAfter.String()
 }
 
 // Accept stores a job. When it returns nil, the job is durable, by this call or an
@@ -78,7 +78,7 @@
 	}
 	candidates := s.candidates(home, spec.GetId())
 	if len(candidates) == 0 {
-		return home.number, false, errors.Mark(s.unavailableError(), ErrUnsure)
+		return home.number, false, errors.Mark(s.unavailableError(), ErrStoreUnavailable)
 	}
 	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
@@ -132,36 +132,36 @@
 				return a.partition, a.err
 			}
 			s.recordAttempt(a, false)
-			unknown = unknown || errors.Is(a.err, ErrUnknownEffect)
+			unknown = unknown || errors.Is(a.err, ErrOutcomeUnknown)
 			start()
 		case <-timer.C:
 			start()
 		}
 	}
 	if unknown {
-		return home, errors.Mark(s.unavailableError(), ErrUnknownEffect)
+		return home, errors.Mark(s.unavailableError(), ErrOutcomeUnknown)
 	}
-	return home, errors.Mark(s.unavailableError(), ErrUnsure)
+	return home, errors.Mark(s.unavailableError(), ErrStoreUnavailable)
 }
 
 // isFinal reports whether an attempt's result is the answer to the caller, because no
 // other partition would give a better one.
 func isFinal(err error) bool {
-	return err == nil || errors.Is(err, ErrOtherJob) || errors.Is(err, store.ErrFull)
+	return err == nil || errors.Is(err, ErrJobConflict) || errors.Is(err, store.ErrFull)
 }
 
 // Unavailable returns the error for a call that is refused without an attempt because the
-// store is known to be unavailable. It is an AwayError marked as ErrUnsure.
+// store is known to be unavailable. It is an UnavailableError marked as ErrStoreUnavailable.
 func (s *Store) Unavailable() error {
 	now := time.Now()
 	s.refusedCalls.expire(now, unavailableBackoff)
 	s.refusedCalls.record(now, false)
-	return errors.Mark(&AwayError{ComeBack: s.refusedCalls.retryAfter(now)}, ErrUnsure)
+	return errors.Mark(&UnavailableError{RetryAfter: s.refusedCalls.retryAfter(now)}, ErrStoreUnavailable)
 }
 
 // unavailableError returns the error for a job that no partition accepted.
-func (s *Store) unavailableError() *AwayError {
-	return &AwayError{ComeBack: s.storeHealth.retryAfter(time.Now())}
+func (s *Store) unavailableError() *UnavailableError {
+	return &UnavailableError{RetryAfter: s.storeHealth.retryAfter(time.Now())}
 }
 
 func (s *Store) recordAttempt(a *attempt, ok bool) {
@@ -186,19 +186,19 @@
 
 // acceptHome stores a job in its home partition p. It does not retry an append that the
 // store refused if there are other partitions: trying one of them is a better use of the
-// caller's time. It returns ErrOtherJob if a different job has the id.
+// caller's time. It returns ErrJobConflict if a different job has the id.
 func (s *Store) acceptHome(ctx context.Context, p *partition, spec *wire.JobSpec) error {
 	other := false
 	refused := func(err error) bool { return s.settings.Partitions > 1 && errors.Is(err, store.ErrRefused) }
 	err := s.updateUntil(ctx, p, refused, func(t *jobs.Table) ([]store.Record, error) {
 		if j := t.Get(spec.GetId()); j != nil {
-			other = !jobs.Same(j.Spec, spec)
+			other = !jobs.SameWork(j.Spec, spec)
 			return nil, nil
 		}
 		return t.Accept(spec)
 	})
 	if err == nil && other {
-		return ErrOtherJob
+		return ErrJobConflict
 	}
 	return err
 }
@@ -212,10 +212,10 @@
 		return err
 	}
 	part := store.Partition{Topic: s.settings.Topic, Number: number}
-	for _, group := range splitAppends(recs, s.settings.CallBytes) {
+	for _, group := range splitAppends(recs, s.settings.MaxAppendBytes) {
 		if _, err := s.log.Append(ctx, part, group, store.AnyEnd); err != nil {
 			if errors.Is(err, store.ErrUnavailable) {
-				return errors.Mark(err, ErrUnknownEffect)
+				return errors.Mark(err, ErrOutcomeUnknown)
 			}
 			return err
 		}
@@ -226,7 +226,7 @@
 // hint returns the job that this partition keeps for its home under the given id, or nil
 // if it keeps none.
 func (p *partition) hint(id string) (spec *wire.JobSpec) {
-	p.follower.Look(func(int64, <-chan struct{}) { spec = p.table.Hint(id) })
+	p.follower.View(func(int64, <-chan struct{}) { spec = p.table.Hint(id) })
 	return spec
 }
 
--- a/jobstore/handoff.go
+++ b/jobstore/handoff.go
@@ -27,7 +27,7 @@
 func (s *Store) HandOff(ctx context.Context, number int) error {
 	p := s.forRunner(number)
 	var hints []*wire.JobSpec
-	p.follower.Look(func(int64, <-chan struct{}) { hints = p.table.Hints() })
+	p.follower.View(func(int64, <-chan struct{}) { hints = p.table.Hints() })
 	var last error
 	failed := make(map[int]bool) // home partitions whose last hand-off failed
 	for _, hint := range hints {
@@ -57,7 +57,7 @@
 	if state == hintObsolete {
 		return s.dropHint(ctx, p, id)
 	}
-	if time.Since(time.UnixMilli(hint.GetAcceptedUnixMs())) > s.settings.Keep {
+	if time.Since(time.UnixMilli(hint.GetAcceptedUnixMs())) > s.settings.Retention {
 		// The home may have deleted the job as expired, so handing it off again would
 		// run it a second time.
 		s.logger.Error("job kept for another partition is past its retention period; dropping it", logging.F("job", id), logging.F("partition", p.number))
@@ -66,7 +66,7 @@
 	began := time.Now()
 	err := s.acceptHome(ctx, home, handOffSpec(hint, p.number))
 	s.logWrite("handed off", id, home.number, began, err, logging.F("from", p.number))
-	if errors.Is(err, ErrOtherJob) {
+	if errors.Is(err, ErrJobConflict) {
 		return nil // the next call drops the hint
 	}
 	return err
@@ -88,7 +88,7 @@
 
 // hintState returns the state of a hint that partition from keeps for p.
 func (p *partition) hintState(id string, from int) (state hintState) {
-	p.follower.Look(func(int64, <-chan struct{}) {
+	p.follower.View(func(int64, <-chan struct{}) {
 		j := p.table.Get(id)
 		switch {
 		case j == nil:
@@ -112,8 +112,8 @@
 }
 
 // find returns the home partition of a job. If only a hint of the job exists, it hands
-// the job off first. It returns ErrUnknownJob only if no partition has the job, and
-// ErrUnsure while a partition that may have it cannot be read.
+// the job off first. It returns ErrJobNotFound only if no partition has the job, and
+// ErrStoreUnavailable while a partition that may have it cannot be read.
 func (s *Store) find(ctx context.Context, id string) (*partition, error) {
 	home := s.forCaller(s.PartitionOf(id))
 	if home.has(id) {
@@ -127,19 +127,19 @@
 	for _, n := range s.alternatesOf(id) {
 		p := s.forCaller(n)
 		if p.hint(id) == nil {
-			if err := p.follower.Catch(ctx, 0); err != nil {
-				return home, errors.Mark(err, ErrUnsure)
+			if err := p.follower.CatchUp(ctx, 0); err != nil {
+				return home, errors.Mark(err, ErrStoreUnavailable)
 			}
 		}
 		if hint := p.hint(id); hint != nil {
 			return home, s.ensureHandedOff(ctx, home, handOffSpec(hint, p.number))
 		}
 	}
-	if err := home.follower.Catch(ctx, 0); err != nil {
-		return home, errors.Mark(err, ErrUnsure)
+	if err := home.follower.CatchUp(ctx, 0); err != nil {
+		return home, errors.Mark(err, ErrStoreUnavailable)
 	}
 	if !home.has(id) {
-		return home, ErrUnknownJob
+		return home, ErrJobNotFound
 	}
 	return home, nil
 }
@@ -156,13 +156,13 @@
 func (p *partition) foundAtHome(ctx context.Context, id string) bool {
 	ctx, cancel := context.WithTimeout(ctx, homeLookupTimeout)
 	defer cancel()
-	return p.follower.Catch(ctx, 0) == nil && p.has(id)
+	return p.follower.CatchUp(ctx, 0) == nil && p.has(id)
 }
 
 // ensureHandedOff stores a job in its home partition if the home does not have it yet.
 func (s *Store) ensureHandedOff(ctx context.Context, home *partition, spec *wire.JobSpec) error {
-	if err := home.follower.Catch(ctx, 0); err != nil {
-		return errors.Mark(err, ErrUnsure)
+	if err := home.follower.CatchUp(ctx, 0); err != nil {
+		return errors.Mark(err, ErrStoreUnavailable)
 	}
 	if home.has(spec.GetId()) {
 		return nil
--- a/jobstore/homes_test.go
+++ b/jobstore/homes_test.go
@@ -23,7 +23,7 @@
 
 func openMany(ctx context.Context, log store.Log) *jobstore.Store {
 	return jobstore.New(ctx, log, jobstore.Settings{
-		Topic: topic, ProgressTopic: "progress", Partitions: partitionCount, CallBytes: 2 << 20, Keep: time.Minute,
+		Topic: topic, ProgressTopic: "progress", Partitions: partitionCount, MaxAppendBytes: 2 << 20, Retention: time.Minute,
 	}, logging.Logger{})
 }
 
@@ -37,7 +37,7 @@
 func jobsPart(n int) store.Partition { return store.Partition{Topic: topic, Number: n} }
 
 // outageFaults are the faults that make a partition unavailable.
-var outageFaults = []sharedstore.Fault{sharedstore.Refuse, sharedstore.Silent, sharedstore.LoseAnswer, sharedstore.Late}
+var outageFaults = []sharedstore.Fault{sharedstore.Refuse, sharedstore.NoResponse, sharedstore.LoseResponse, sharedstore.ApplyLate}
 
 // Guards against a third of all jobs being refused while a third of the store's partitions
 // is unavailable. The home of a job does not answer; another partition must accept the job.
@@ -45,7 +45,7 @@
 	for _, fault := range outageFaults {
 		inBubble(t, func(ctx context.Context, t *testing.T) {
 			s := sharedstore.New(partitionCount)
-			st := openMany(ctx, s.For("a"))
+			st := openMany(ctx, s.ClientFor("a"))
 			home := st.PartitionOf("job")
 			_, _ = st.Results(ctx, "job", 0, 0) // load the partitions
 			s.SetPartitionFault(jobsPart(home), fault)
@@ -55,7 +55,7 @@
 				if err := st.Accept(ctx, specSentNow(id, 2)); err != nil || time.Since(began) > 400*time.Millisecond {
 					t.Errorf("fault %d, job %d: Accept returned %v after %s, want nil within 400ms", fault, n, err, time.Since(began))
 				}
-				if body, err := openMany(ctx, s.For("b")).Body(ctx, id, id+"0"); string(body) != "body" && !errors.Is(err, jobstore.ErrUnsure) {
+				if body, err := openMany(ctx, s.ClientFor("b")).Body(ctx, id, id+"0"); string(body) != "body" && !errors.Is(err, jobstore.ErrStoreUnavailable) {
 					t.Errorf("fault %d: got body %q and error %v", fault, body, err)
 				}
 			}
@@ -79,34 +79,34 @@
 func TestHintIsHandedOffAndRunFromOnePartition(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(partitionCount)
-		a, b := openMany(ctx, s.For("a")), openMany(ctx, s.For("b"))
+		a, b := openMany(ctx, s.ClientFor("a")), openMany(ctx, s.ClientFor("b"))
 		home := a.PartitionOf("job")
-		s.SetDown(jobsPart(home), true)
+		s.SetPartitionDown(jobsPart(home), true)
 		if err := a.Accept(ctx, specSentNow("job", 2)); err != nil {
 			t.Fatal(err)
 		}
 		hintPart := hintPartition(s, home)
 		_ = b.Refresh(ctx, hintPart, 0)
-		if got := b.Open(hintPart); len(got) != 2 || got[0].Home != home || got[0].HandOff == nil {
+		if got := b.OpenItems(hintPart); len(got) != 2 || got[0].Home != home || got[0].HandOff == nil {
 			t.Fatalf("open items while the home is down: %+v, want 2 with a hand-off", got)
 		}
-		s.SetDown(jobsPart(home), false)
+		s.SetPartitionDown(jobsPart(home), false)
 		time.Sleep(time.Second)
 		if res, err := b.Results(ctx, "job", 0, 0); err != nil || res.Total != 2 {
 			t.Fatalf("got results %+v and error %v, want a total of 2", res, err)
 		}
-		if own, hinted := b.Open(home), b.Open(hintPart); len(own) != 0 || len(hinted) != 2 {
+		if own, hinted := b.OpenItems(home), b.OpenItems(hintPart); len(own) != 0 || len(hinted) != 2 {
 			t.Fatalf("home runs %d items and hint runs %d, want 0 and 2", len(own), len(hinted))
 		}
-		for _, it := range b.Open(hintPart) {
-			if err := b.List(ctx, it.Home, []jobs.Outcome{{Job: it.Job, Item: it.Index, Text: []byte("x"), HandOff: it.HandOff}}); err != nil {
+		for _, it := range b.OpenItems(hintPart) {
+			if err := b.RecordOutcomes(ctx, it.Home, []jobs.Outcome{{Job: it.Job, Item: it.Index, Text: []byte("x"), HandOff: it.HandOff}}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if err := b.HandOff(ctx, hintPart); err != nil {
 			t.Fatal(err)
 		}
-		if left := s.For("c").Kept(jobsPart(hintPart)); left != 0 {
+		if left := s.ClientFor("c").KeyCount(jobsPart(hintPart)); left != 0 {
 			t.Fatalf("%d records of the hint are left, want 0", left)
 		}
 	})
@@ -116,7 +116,7 @@
 func hintPartition(s *sharedstore.Store, home int) int {
 	time.Sleep(time.Second)
 	for n := range partitionCount {
-		if n != home && s.For("x").Kept(jobsPart(n)) > 0 {
+		if n != home && s.ClientFor("x").KeyCount(jobsPart(n)) > 0 {
 			return n
 		}
 	}
@@ -128,22 +128,22 @@
 func TestResultCarriesItsJob(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(partitionCount)
-		st := openMany(ctx, s.For("a"))
+		st := openMany(ctx, s.ClientFor("a"))
 		home := st.PartitionOf("job")
-		s.SetDown(jobsPart(home), true)
+		s.SetPartitionDown(jobsPart(home), true)
 		if err := st.Accept(ctx, specSentNow("job", 1)); err != nil {
 			t.Fatal(err)
 		}
 		hintPart := hintPartition(s, home)
 		_ = st.Refresh(ctx, hintPart, 0)
-		open := st.Open(hintPart)
-		s.SetDown(jobsPart(home), false)
+		open := st.OpenItems(hintPart)
+		s.SetPartitionDown(jobsPart(home), false)
 		time.Sleep(time.Second)
 		it := open[0]
-		if err := st.List(ctx, it.Home, []jobs.Outcome{{Job: it.Job, Item: it.Index, Text: []byte("x"), HandOff: it.HandOff}}); err != nil {
+		if err := st.RecordOutcomes(ctx, it.Home, []jobs.Outcome{{Job: it.Job, Item: it.Index, Text: []byte("x"), HandOff: it.HandOff}}); err != nil {
 			t.Fatal(err)
 		}
-		if res, err := openMany(ctx, s.For("b")).Results(ctx, "job", 0, 0); err != nil || len(res.Items) != 1 {
+		if res, err := openMany(ctx, s.ClientFor("b")).Results(ctx, "job", 0, 0); err != nil || len(res.Items) != 1 {
 			t.Fatalf("got results %+v and error %v, want 1 item", res, err)
 		}
 	})
@@ -154,8 +154,8 @@
 func TestKnownOutageRefusesImmediately(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(partitionCount)
-		st := openMany(ctx, s.For("a"))
-		s.SetFault("a", sharedstore.Silent)
+		st := openMany(ctx, s.ClientFor("a"))
+		s.SetFault("a", sharedstore.NoResponse)
 		_ = st.Accept(ctx, specSentNow("first", 1)) // detects the outage
 		waited := time.Duration(0)
 		var delays []time.Duration
@@ -163,11 +163,11 @@
 			began := time.Now()
 			err := st.Accept(ctx, specSentNow(fmt.Sprint("job", n), 1))
 			waited += time.Since(began)
-			var unavailable *jobstore.AwayError
-			if !errors.As(err, &unavailable) || unavailable.ComeBack < 200*time.Millisecond {
+			var unavailable *jobstore.UnavailableError
+			if !errors.As(err, &unavailable) || unavailable.RetryAfter < 200*time.Millisecond {
 				t.Fatalf("job %d: got %v, want a retry delay of at least 200ms", n, err)
 			}
-			delays = append(delays, unavailable.ComeBack)
+			delays = append(delays, unavailable.RetryAfter)
 			time.Sleep(50 * time.Millisecond)
 		}
 		if waited > 30*time.Second/10 {
@@ -176,7 +176,7 @@
 		if slices.Max(delays) < 2*slices.Min(delays) {
 			t.Errorf("retry delays are not spread: %s to %s", slices.Min(delays), slices.Max(delays))
 		}
-		s.SetFault("a", sharedstore.None)
+		s.SetFault("a", sharedstore.NoFault)
 		time.Sleep(1500 * time.Millisecond)
 		if err := st.Accept(ctx, specSentNow("after", 1)); err != nil {
 			t.Errorf("after the outage: %v", err)
@@ -234,16 +234,16 @@
 func (sim *hintSim) restart(ctx context.Context) {
 	sim.nodes = nil
 	for _, h := range simHosts {
-		sim.nodes = append(sim.nodes, openMany(ctx, sim.store.For(h)))
+		sim.nodes = append(sim.nodes, openMany(ctx, sim.store.ClientFor(h)))
 	}
 }
 
 func (sim *hintSim) clearFaults() {
 	for _, h := range simHosts {
-		sim.store.SetFault(h, sharedstore.None)
+		sim.store.SetFault(h, sharedstore.NoFault)
 	}
 	for n := range partitionCount {
-		sim.store.SetPartitionFault(jobsPart(n), sharedstore.None)
+		sim.store.SetPartitionFault(jobsPart(n), sharedstore.NoFault)
 	}
 }
 
@@ -291,9 +291,9 @@
 
 // run lists an outcome for each open item that a partition's runner would run.
 func (sim *hintSim) run(ctx context.Context, node *jobstore.Store, part int, text string) {
-	for _, it := range node.Open(part) {
+	for _, it := range node.OpenItems(part) {
 		// A later read shows whether the result was listed.
-		_ = node.List(ctx, it.Home, []jobs.Outcome{{Job: it.Job, Item: it.Index, Text: []byte(text + it.Item.GetId()), HandOff: it.HandOff}})
+		_ = node.RecordOutcomes(ctx, it.Home, []jobs.Outcome{{Job: it.Job, Item: it.Index, Text: []byte(text + it.Item.GetId()), HandOff: it.HandOff}})
 	}
 }
 
@@ -301,7 +301,7 @@
 // complete.
 func (sim *hintSim) finish(ctx context.Context) string {
 	sim.clearFaults()
-	time.Sleep(2 * sharedstore.LateBy)
+	time.Sleep(2 * sharedstore.LateDelay)
 	sim.restart(ctx)
 	for range 3 {
 		for part := range partitionCount {
@@ -348,11 +348,11 @@
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(partitionCount)
 		for n := range partitionCount {
-			s.SetDown(jobsPart(n), true)
+			s.SetPartitionDown(jobsPart(n), true)
 		}
-		a := openMany(ctx, s.For("a"))
-		var unavailable *jobstore.AwayError
-		if err := a.Accept(ctx, &wire.JobSpec{Id: "x"}); !errors.As(err, &unavailable) || !errors.Is(err, jobstore.ErrUnsure) {
+		a := openMany(ctx, s.ClientFor("a"))
+		var unavailable *jobstore.UnavailableError
+		if err := a.Accept(ctx, &wire.JobSpec{Id: "x"}); !errors.As(err, &unavailable) || !errors.Is(err, jobstore.ErrStoreUnavailable) {
 			t.Fatalf("got %v, want a refusal that nothing was written, with a retry delay", err)
 		}
 	})
@@ -364,17 +364,17 @@
 func TestAcceptFollowsOnlyTheHome(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(partitionCount)
-		st := openMany(ctx, s.For("a"))
+		st := openMany(ctx, s.ClientFor("a"))
 		home := st.PartitionOf("job")
 		for n := range 5 {
 			if err := st.Accept(ctx, specSentNow(idWithHome(st, home, n), 1)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		before := s.Calls()
+		before := s.CallCount()
 		time.Sleep(20 * time.Second)
 		// One followed partition takes one long-poll read every 8 s.
-		if calls := s.Calls() - before; calls > 4 {
+		if calls := s.CallCount() - before; calls > 4 {
 			t.Errorf("%d calls in 20 s without requests, want at most 4", calls)
 		}
 	})
@@ -386,14 +386,14 @@
 func TestFirstReadFollowsOnlyTheHome(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(partitionCount)
-		if err := openMany(ctx, s.For("a")).Accept(ctx, specSentNow("job", 1)); err != nil {
+		if err := openMany(ctx, s.ClientFor("a")).Accept(ctx, specSentNow("job", 1)); err != nil {
 			t.Fatal(err)
 		}
-		reader := openMany(ctx, s.For("b"))
+		reader := openMany(ctx, s.ClientFor("b"))
 		if _, err := reader.Results(ctx, "job", 0, 0); err != nil {
 			t.Fatal(err)
 		}
-		if n := reader.Followed(); n != 1 {
+		if n := reader.FollowedPartitions(); n != 1 {
 			t.Errorf("%d partitions followed, want 1", n)
 		}
 	})
@@ -404,17 +404,17 @@
 func TestIdlePartitionIsUnfollowed(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(partitionCount)
-		st := openMany(ctx, s.For("a"))
+		st := openMany(ctx, s.ClientFor("a"))
 		if err := st.Accept(ctx, specSentNow("job", 1)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Second)
-		if st.Followed() != 1 {
-			t.Fatalf("%d partitions followed 10 s after a use, want 1", st.Followed())
+		if st.FollowedPartitions() != 1 {
+			t.Fatalf("%d partitions followed 10 s after a use, want 1", st.FollowedPartitions())
 		}
 		time.Sleep(15 * time.Second)
-		if st.Followed() != 0 {
-			t.Fatalf("%d partitions followed 25 s after the last use, want 0", st.Followed())
+		if st.FollowedPartitions() != 0 {
+			t.Fatalf("%d partitions followed 25 s after the last use, want 0", st.FollowedPartitions())
 		}
 		if res, err := st.Results(ctx, "job", 0, 0); err != nil || res.Total != 1 {
 			t.Fatalf("read after unfollowing: got %+v and error %v, want a total of 1", res, err)
@@ -431,9 +431,9 @@
 	for n := range count {
 		inBubble(t, func(ctx context.Context, t *testing.T) {
 			s := sharedstore.New(partitionCount)
-			accepter, reader := openMany(ctx, s.For("a")), openMany(ctx, s.For("b"))
+			accepter, reader := openMany(ctx, s.ClientFor("a")), openMany(ctx, s.ClientFor("b"))
 			job := specSentNow(fmt.Sprint("job", n), 1)
-			s.SetPartitionFault(jobsPart(accepter.PartitionOf(job.GetId())), sharedstore.Silent)
+			s.SetPartitionFault(jobsPart(accepter.PartitionOf(job.GetId())), sharedstore.NoResponse)
 			if err := accepter.Accept(ctx, job); err != nil {
 				t.Fatal(err)
 			}
--- a/jobstore/jobstore.go
+++ b/jobstore/jobstore.go
@@ -24,10 +24,10 @@
 type Settings struct {
 	Topic string
 	// ProgressTopic holds the progress of unfinished items.
-	ProgressTopic string
-	Partitions    int
-	CallBytes     int           // maximum size of one append, in bytes
-	Keep          time.Duration // how long results are readable after the job was accepted
+	ProgressTopic  string
+	Partitions     int
+	MaxAppendBytes int           // maximum size of one append, in bytes
+	Retention      time.Duration // how long results are readable after the job was accepted
 }
 
 // Timeouts, intervals and limits of the store.
@@ -62,15 +62,15 @@
 
 // Errors of the Store.
 var (
-	// ErrUnknownJob is returned only when the job certainly does not exist.
-	ErrUnknownJob = errors.New("job not found")
-	// ErrOtherJob is returned when a different job already has the id.
-	ErrOtherJob = errors.New("a different job already has this id")
-	// ErrUnsure is returned when the shared store does not answer, so that the state of
+	// ErrJobNotFound is returned only when the job certainly does not exist.
+	ErrJobNotFound = errors.New("job not found")
+	// ErrJobConflict is returned when a different job already has the id.
+	ErrJobConflict = errors.New("a different job already has this id")
+	// ErrStoreUnavailable is returned when the shared store does not answer, so that the state of
 	// the job is not known. A write that returns it was not carried out.
-	ErrUnsure = errors.New("job store is unavailable and the job's state is unknown")
-	// ErrUnknownEffect is returned when a write may or may not have been carried out.
-	ErrUnknownEffect = errors.New("job store did not answer and the write may have been carried out")
+	ErrStoreUnavailable = errors.New("job store is unavailable and the job's state is unknown")
+	// ErrOutcomeUnknown is returned when a write may or may not have been carried out.
+	ErrOutcomeUnknown = errors.New("job store did not answer and the write may have been carried out")
 )
 
 // Store accepts, reads and updates batch jobs. It is safe for concurrent use.
@@ -82,7 +82,7 @@
 
 	mu         sync.Mutex
 	partitions map[int]*partition
-	loadLimit  store.Loads
+	loadLimit  store.LoadLimit
 	// storeHealth counts the attempts to accept a job over all partitions.
 	storeHealth health
 	// refusedCalls counts calls that were refused without an attempt.
@@ -91,7 +91,7 @@
 	partitionHealth map[int]*health
 	acceptLatency   latencyEstimate
 	// callerLimiter limits the reads of partitions that only callers use here.
-	callerLimiter *store.Pace
+	callerLimiter *store.ReadLimiter
 }
 
 // partition is one followed partition. Its table may be accessed only while the
@@ -116,7 +116,7 @@
 
 // New returns a Store whose followers run until ctx ends.
 func New(ctx context.Context, log store.Log, settings Settings, logger logging.Logger) *Store {
-	s := &Store{log: log, settings: settings, logger: logger, baseCtx: ctx, partitions: make(map[int]*partition), loadLimit: store.NewLoads(maxConcurrentLoads), partitionHealth: make(map[int]*health), callerLimiter: store.NewPace()}
+	s := &Store{log: log, settings: settings, logger: logger, baseCtx: ctx, partitions: make(map[int]*partition), loadLimit: store.NewLoadLimit(maxConcurrentLoads), partitionHealth: make(map[int]*health), callerLimiter: store.NewReadLimiter()}
 	go s.unfollowIdle(ctx)
 	return s
 }
@@ -138,8 +138,8 @@
 	}
 }
 
-// Followed returns the number of partitions that this process follows.
-func (s *Store) Followed() int {
+// FollowedPartitions returns the number of partitions that this process follows.
+func (s *Store) FollowedPartitions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.partitions)
@@ -181,13 +181,13 @@
 	}
 	p := &partition{number: number, table: jobs.NewTable(unreadable), writeSlot: make(chan struct{}, 1), probeSlot: make(chan struct{}, 1), lastUsed: time.Now()}
 	part := store.Partition{Topic: s.settings.Topic, Number: number}
-	log := store.Paced{Log: s.log, Pace: s.callerLimiter, Urgent: p.hasLocalRunner}
-	p.follower = store.NewFollower(log, part, p.table, store.FollowSettings{
-		Wait: readWait, Loads: s.loadLimit,
-		OnTrouble: func(err error) {
+	log := store.RateLimitedLog{Log: s.log, Limiter: s.callerLimiter, Exempt: p.hasLocalRunner}
+	p.follower = store.NewFollower(log, part, p.table, store.FollowerConfig{
+		Wait: readWait, LoadLimit: s.loadLimit,
+		OnFailure: func(err error) {
 			s.logger.Warn("job partition does not answer", logging.F("partition", number), logging.F("error", err.Error()))
 		},
-		OnContact: func(away time.Duration) {
+		OnRecovery: func(away time.Duration) {
 			s.logger.Info("job partition answers again", logging.F("partition", number), logging.F("away_ms", away.Milliseconds()))
 		},
 	})
@@ -199,11 +199,11 @@
 }
 
 // ensureFresh brings the state to within absenceMaxAge of the store, as is needed before
-// a job is reported as not found. It returns an error marked ErrUnsure if the store does
+// a job is reported as not found. It returns an error marked ErrStoreUnavailable if the store does
 // not answer.
 func (p *partition) ensureFresh(ctx context.Context) error {
-	if err := p.follower.Catch(ctx, absenceMaxAge); err != nil {
-		return errors.Mark(err, ErrUnsure)
+	if err := p.follower.CatchUp(ctx, absenceMaxAge); err != nil {
+		return errors.Mark(err, ErrStoreUnavailable)
 	}
 	return nil
 }
@@ -223,30 +223,30 @@
 
 func (p *partition) has(id string) bool {
 	found := false
-	p.follower.Look(func(int64, <-chan struct{}) { found = p.table.Get(id) != nil })
+	p.follower.View(func(int64, <-chan struct{}) { found = p.table.Get(id) != nil })
 	return found
 }
 
-// List records the outcomes of items whose jobs belong to the given partition. Each
+// RecordOutcomes records the outcomes of items whose jobs belong to the given partition. Each
 // outcome is listed at the next free position of its job's results.
-func (s *Store) List(ctx context.Context, number int, outcomes []jobs.Outcome) error {
+func (s *Store) RecordOutcomes(ctx context.Context, number int, outcomes []jobs.Outcome) error {
 	return s.update(ctx, s.forRunner(number), func(t *jobs.Table) ([]store.Record, error) {
 		return t.List(outcomes)
 	})
 }
 
-// Fail records how many attempts of an item have failed. It sets impossible
+// RecordFailures records how many attempts of an item have failed. It sets impossible
 // if a target reported that the item can never succeed.
-func (s *Store) Fail(ctx context.Context, id string, item, failed int, impossible bool) error {
+func (s *Store) RecordFailures(ctx context.Context, id string, item, failed int, impossible bool) error {
 	return s.update(ctx, s.forRunner(s.PartitionOf(id)), func(t *jobs.Table) ([]store.Record, error) {
 		return t.Fail(id, item, failed, impossible)
 	})
 }
 
-// Sweep deletes the jobs of a partition whose retention period is over.
-func (s *Store) Sweep(ctx context.Context, number int, now time.Time) error {
+// DeleteExpired deletes the jobs of a partition whose retention period is over.
+func (s *Store) DeleteExpired(ctx context.Context, number int, now time.Time) error {
 	return s.update(ctx, s.forRunner(number), func(t *jobs.Table) ([]store.Record, error) {
-		return t.Expired(now, s.settings.Keep+retentionMargin), nil
+		return t.Expired(now, s.settings.Retention+retentionMargin), nil
 	})
 }
 
@@ -264,7 +264,7 @@
 	select {
 	case p.writeSlot <- struct{}{}:
 	case <-ctx.Done():
-		return errors.Mark(ctx.Err(), ErrUnsure)
+		return errors.Mark(ctx.Err(), ErrStoreUnavailable)
 	}
 	defer func() { <-p.writeSlot }()
 	if err := p.ensureLoaded(ctx); err != nil {
@@ -303,18 +303,18 @@
 // noPendingAppend means that every append of an update has been answered.
 const noPendingAppend int64 = -1
 
-// updateError marks cause as ErrUnknownEffect if an append may still be carried out, and
-// as ErrUnsure otherwise.
+// updateError marks cause as ErrOutcomeUnknown if an append may still be carried out, and
+// as ErrStoreUnavailable otherwise.
 func updateError(cause error, pendingAt int64) error {
 	if pendingAt != noPendingAppend {
-		return errors.Mark(cause, ErrUnknownEffect)
+		return errors.Mark(cause, ErrOutcomeUnknown)
 	}
-	return errors.Mark(cause, ErrUnsure)
+	return errors.Mark(cause, ErrStoreUnavailable)
 }
 
 // ensureLoaded loads the partition if it has not been loaded yet.
 func (p *partition) ensureLoaded(ctx context.Context) error {
-	if p.follower.Look(func(int64, <-chan struct{}) {}) {
+	if p.follower.View(func(int64, <-chan struct{}) {}) {
 		return nil
 	}
 	return p.ensureFresh(ctx)
@@ -323,7 +323,7 @@
 // decide calls decide on the partition's state. It returns the records and the
 // partition's end at that state.
 func (p *partition) decide(decide func(*jobs.Table) ([]store.Record, error)) (recs []store.Record, at int64, err error) {
-	p.follower.Look(func(end int64, _ <-chan struct{}) {
+	p.follower.View(func(end int64, _ <-chan struct{}) {
 		at = end
 		recs, err = decide(p.table)
 	})
@@ -336,7 +336,7 @@
 // follower reads the records sooner. With an error it returns the end at which the
 // failed call was made.
 func (s *Store) appendOrObserve(ctx context.Context, p *partition, recs []store.Record, at int64) (int64, error) {
-	if len(splitAppends(recs, s.settings.CallBytes)) > 1 {
+	if len(splitAppends(recs, s.settings.MaxAppendBytes)) > 1 {
 		return s.append(ctx, p, recs, at) // the first of several calls moves the end itself
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -362,7 +362,7 @@
 // advancedPast reports whether the partition's end is beyond at. The channel is closed
 // at the next change.
 func (p *partition) advancedPast(at int64) (advanced bool, changed <-chan struct{}) {
-	p.follower.Look(func(end int64, ch <-chan struct{}) { advanced, changed = end > at, ch })
+	p.follower.View(func(end int64, ch <-chan struct{}) { advanced, changed = end > at, ch })
 	return advanced, changed
 }
 
@@ -372,11 +372,11 @@
 // there.
 func (s *Store) append(ctx context.Context, p *partition, recs []store.Record, at int64) (int64, error) {
 	part := store.Partition{Topic: s.settings.Topic, Number: p.number}
-	for group := range slices.Values(splitAppends(recs, s.settings.CallBytes)) {
+	for group := range slices.Values(splitAppends(recs, s.settings.MaxAppendBytes)) {
 		if _, err := s.log.Append(ctx, part, group, at); err != nil {
 			return at, err
 		}
-		p.follower.Appended(group, at)
+		p.follower.ApplyAppended(group, at)
 		at += int64(len(group))
 	}
 	return at, nil
@@ -410,7 +410,7 @@
 	if errors.As(cause, &conflict) {
 		delay = conflictRetryDelay
 	}
-	err := p.follower.Catch(ctx, 0)
+	err := p.follower.CatchUp(ctx, 0)
 	if err != nil {
 		delay = refusedRetryDelay
 	}
--- a/jobstore/jobstore_test.go
+++ b/jobstore/jobstore_test.go
@@ -22,7 +22,7 @@
 
 func open(ctx context.Context, log store.Log) *jobstore.Store {
 	return jobstore.New(ctx, log, jobstore.Settings{
-		Topic: topic, ProgressTopic: "progress", Partitions: 1, CallBytes: 2 << 20, Keep: time.Minute,
+		Topic: topic, ProgressTopic: "progress", Partitions: 1, MaxAppendBytes: 2 << 20, Retention: time.Minute,
 	}, logging.Logger{})
 }
 
@@ -51,17 +51,17 @@
 func TestLateAppendReportsOutcomeUnknown(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
-		st := open(ctx, s.For("a"))
+		st := open(ctx, s.ClientFor("a"))
 		_, _ = st.Results(ctx, "none", 0, 0) // load the partition
-		s.SetFault("a", sharedstore.Late)
+		s.SetFault("a", sharedstore.ApplyLate)
 		callCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 		defer cancel()
 		err := st.Accept(callCtx, spec("job", 1))
-		if !errors.Is(err, jobstore.ErrUnknownEffect) {
+		if !errors.Is(err, jobstore.ErrOutcomeUnknown) {
 			t.Fatalf("got %v, want an unknown outcome", err)
 		}
 		time.Sleep(5 * time.Second)
-		if _, err := open(ctx, s.For("b")).Results(ctx, "job", 0, 0); err != nil {
+		if _, err := open(ctx, s.ClientFor("b")).Results(ctx, "job", 0, 0); err != nil {
 			t.Fatalf("the late append was not carried out: %v", err)
 		}
 	})
@@ -74,17 +74,17 @@
 func TestLateSecondAppendReportsOutcomeUnknown(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
-		a := &secondAppendLate{Log: s.For("a"), faults: s}
+		a := &secondAppendLate{Log: s.ClientFor("a"), faults: s}
 		st := open(ctx, a)
 		_, _ = st.Results(ctx, "none", 0, 0) // load the partition
 		callCtx, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
 		defer cancel()
 		err := st.Accept(callCtx, bigSpec("job"))
-		if !errors.Is(err, jobstore.ErrUnknownEffect) {
+		if !errors.Is(err, jobstore.ErrOutcomeUnknown) {
 			t.Fatalf("got %v, want an unknown outcome", err)
 		}
-		time.Sleep(2 * sharedstore.LateBy)
-		if _, err := open(ctx, s.For("b")).Results(ctx, "job", 0, 0); err != nil {
+		time.Sleep(2 * sharedstore.LateDelay)
+		if _, err := open(ctx, s.ClientFor("b")).Results(ctx, "job", 0, 0); err != nil {
 			t.Fatalf("the late append was not carried out: %v", err)
 		}
 	})
@@ -101,7 +101,7 @@
 func (l *secondAppendLate) Append(ctx context.Context, p store.Partition, recs []store.Record, at int64) (int64, error) {
 	l.appends++
 	if l.appends == 2 {
-		l.faults.SetFault("a", sharedstore.Late)
+		l.faults.SetFault("a", sharedstore.ApplyLate)
 		defer l.faults.SetFault("a", sharedstore.Refuse)
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, 300*time.Millisecond)
@@ -124,12 +124,12 @@
 func TestRefusedAppendReportsNotRun(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
-		st := open(ctx, s.For("a"))
+		st := open(ctx, s.ClientFor("a"))
 		_, _ = st.Results(ctx, "none", 0, 0)
 		s.SetFault("a", sharedstore.Refuse)
 		callCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 		defer cancel()
-		if err := st.Accept(callCtx, spec("job", 1)); !errors.Is(err, jobstore.ErrUnsure) || errors.Is(err, jobstore.ErrUnknownEffect) {
+		if err := st.Accept(callCtx, spec("job", 1)); !errors.Is(err, jobstore.ErrStoreUnavailable) || errors.Is(err, jobstore.ErrOutcomeUnknown) {
 			t.Fatalf("got %v, want the certain answer that nothing was written", err)
 		}
 	})
@@ -140,9 +140,9 @@
 func TestAcceptReturnsOnceItsRecordIsRead(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
-		st := open(ctx, s.For("a"))
+		st := open(ctx, s.ClientFor("a"))
 		_, _ = st.Results(ctx, "none", 0, 0) // load the partition
-		s.SetFault("a", sharedstore.LoseAnswer)
+		s.SetFault("a", sharedstore.LoseResponse)
 		began := time.Now()
 		if err := st.Accept(ctx, spec("job", 1)); err != nil || time.Since(began) > 100*time.Millisecond {
 			t.Fatalf("Accept returned %v after %s, want nil within 100ms", err, time.Since(began))
@@ -156,19 +156,19 @@
 func TestLateAppendOfPausedWriterHasNoEffect(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
-		a, b := open(ctx, s.For("a")), open(ctx, s.For("b"))
+		a, b := open(ctx, s.ClientFor("a")), open(ctx, s.ClientFor("b"))
 		if err := a.Accept(ctx, spec("job", 1)); err != nil {
 			t.Fatal(err)
 		}
-		s.SetFault("a", sharedstore.Late)
+		s.SetFault("a", sharedstore.ApplyLate)
 		callCtx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 		defer cancel()
-		_ = a.List(callCtx, 0, []jobs.Outcome{{Job: "job", Item: 0, Text: []byte("old")}})
-		if err := b.List(ctx, 0, []jobs.Outcome{{Job: "job", Item: 0, Text: []byte("new")}}); err != nil {
+		_ = a.RecordOutcomes(callCtx, 0, []jobs.Outcome{{Job: "job", Item: 0, Text: []byte("old")}})
+		if err := b.RecordOutcomes(ctx, 0, []jobs.Outcome{{Job: "job", Item: 0, Text: []byte("new")}}); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(2 * sharedstore.LateBy)
-		res, err := open(ctx, s.For("c")).Results(ctx, "job", 0, 0)
+		time.Sleep(2 * sharedstore.LateDelay)
+		res, err := open(ctx, s.ClientFor("c")).Results(ctx, "job", 0, 0)
 		if err != nil || len(res.Items) != 1 || string(res.Items[0].Text) != "new" {
 			t.Fatalf("got results %v and error %v, want the one result \"new\"", res, err)
 		}
@@ -180,8 +180,8 @@
 func TestUnknownJobRequiresFreshState(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
-		a, b := open(ctx, s.For("a")), open(ctx, s.For("b"))
-		if _, err := b.Results(ctx, "job", 0, 0); !errors.Is(err, jobstore.ErrUnknownJob) {
+		a, b := open(ctx, s.ClientFor("a")), open(ctx, s.ClientFor("b"))
+		if _, err := b.Results(ctx, "job", 0, 0); !errors.Is(err, jobstore.ErrJobNotFound) {
 			t.Fatalf("got %v, want job not found", err)
 		}
 		if err := a.Accept(ctx, spec("job", 1)); err != nil {
@@ -193,10 +193,10 @@
 		}
 		s.SetFault("b", sharedstore.Refuse)
 		time.Sleep(time.Second)
-		if _, err := b.Results(ctx, "other", 0, 0); !errors.Is(err, jobstore.ErrUnsure) {
+		if _, err := b.Results(ctx, "other", 0, 0); !errors.Is(err, jobstore.ErrStoreUnavailable) {
 			t.Fatalf("got %v, want an unavailable store", err)
 		}
-		if res, err := b.Results(ctx, "job", 0, 0); !errors.Is(err, jobstore.ErrUnsure) {
+		if res, err := b.Results(ctx, "job", 0, 0); !errors.Is(err, jobstore.ErrStoreUnavailable) {
 			t.Fatalf("no listed result and stale state: got %v and error %v, want an unavailable store", res, err)
 		}
 	})
@@ -206,7 +206,7 @@
 func TestJobOfSeveralAppendsIsComplete(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
-		a, b := open(ctx, s.For("a")), open(ctx, s.For("b"))
+		a, b := open(ctx, s.ClientFor("a")), open(ctx, s.ClientFor("b"))
 		if err := a.Accept(ctx, bigSpec("job")); err != nil {
 			t.Fatal(err)
 		}
@@ -223,7 +223,7 @@
 func TestResendIsIdempotentAndOtherJobIsRefused(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
-		a, b := open(ctx, s.For("a")), open(ctx, s.For("b"))
+		a, b := open(ctx, s.ClientFor("a")), open(ctx, s.ClientFor("b"))
 		again := spec("job", 2)
 		again.AcceptedUnixMs = 77 // a resend is accepted later
 		for _, st := range []*jobstore.Store{a, b} {
@@ -234,7 +234,7 @@
 		if n := len(s.Records(store.Partition{Topic: topic})); n != 1 {
 			t.Fatalf("got %d records for one job, want 1", n)
 		}
-		if err := b.Accept(ctx, spec("job", 3)); !errors.Is(err, jobstore.ErrOtherJob) {
+		if err := b.Accept(ctx, spec("job", 3)); !errors.Is(err, jobstore.ErrJobConflict) {
 			t.Fatalf("got %v for a different job, want a conflict", err)
 		}
 	})
@@ -312,7 +312,7 @@
 }
 
 var faults = []sharedstore.Fault{
-	sharedstore.None, sharedstore.None, sharedstore.Refuse, sharedstore.Silent, sharedstore.LoseAnswer, sharedstore.Late,
+	sharedstore.NoFault, sharedstore.NoFault, sharedstore.Refuse, sharedstore.NoResponse, sharedstore.LoseResponse, sharedstore.ApplyLate,
 }
 
 func playMoves(ctx context.Context, moves []move) string {
@@ -321,7 +321,7 @@
 	nodes := make([]*jobstore.Store, len(hosts))
 	restart := func() {
 		for i, h := range hosts {
-			nodes[i] = open(ctx, s.For(h))
+			nodes[i] = open(ctx, s.ClientFor(h))
 		}
 	}
 	restart()
@@ -334,7 +334,7 @@
 		case moveFault:
 			s.SetFault(hosts[m.Node], faults[(m.Item+m.Ms)%len(faults)])
 		case moveForget:
-			s.Forget(store.Partition{Topic: topic})
+			s.DropHistory(store.Partition{Topic: topic})
 		case moveRestart:
 			restart()
 		case moveSleep:
@@ -343,7 +343,7 @@
 			o.accept(id, nodes[m.Node].Accept(callCtx, spec(id, 3)))
 		case moveList:
 			// A later read shows whether the result was listed.
-			_ = nodes[m.Node].List(callCtx, 0, []jobs.Outcome{{Job: id, Item: m.Item, Text: []byte(fmt.Sprint("t", i))}})
+			_ = nodes[m.Node].RecordOutcomes(callCtx, 0, []jobs.Outcome{{Job: id, Item: m.Item, Text: []byte(fmt.Sprint("t", i))}})
 		case moveRead:
 			failure = o.check(callCtx, nodes[m.Node], id)
 		}
@@ -353,9 +353,9 @@
 		}
 	}
 	for _, h := range hosts {
-		s.SetFault(h, sharedstore.None)
+		s.SetFault(h, sharedstore.NoFault)
 	}
-	time.Sleep(2 * sharedstore.LateBy)
+	time.Sleep(2 * sharedstore.LateDelay)
 	restart()
 	for i := range 3 {
 		if failure := o.check(ctx, nodes[i], fmt.Sprint("job", i)); failure != "" {
@@ -366,7 +366,7 @@
 }
 
 func (o *oracle) accept(id string, err error) {
-	if err != nil && !errors.Is(err, jobstore.ErrUnknownEffect) {
+	if err != nil && !errors.Is(err, jobstore.ErrOutcomeUnknown) {
 		if _, known := o.denied[id]; !known {
 			o.denied[id] = true
 		}
@@ -383,7 +383,7 @@
 	res, err := st.Results(ctx, id, 0, 0)
 	at, accepted := o.accepted[id]
 	switch {
-	case errors.Is(err, jobstore.ErrUnknownJob) && accepted && began.Sub(at) >= propagationTime:
+	case errors.Is(err, jobstore.ErrJobNotFound) && accepted && began.Sub(at) >= propagationTime:
 		return id + " was accepted and is not found"
 	case err != nil:
 		return ""
@@ -415,17 +415,17 @@
 func TestProgressIsSavedAndDropped(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
-		st := open(ctx, s.For("a"))
+		st := open(ctx, s.ClientFor("a"))
 		k, l := jobstore.ItemKey{Job: "job", Item: 1}, jobstore.ItemKey{Job: "job", Item: 2}
-		all := []jobstore.Progress{{Key: k, Last: 9, Text: []byte("nine")}, {Key: l, Last: 3, Text: []byte("three")}}
+		all := []jobstore.Progress{{Key: k, LastEvent: 9, Text: []byte("nine")}, {Key: l, LastEvent: 3, Text: []byte("three")}}
 		if err := st.SaveProgress(ctx, 0, all); err != nil {
 			t.Fatal(err)
 		}
-		if err := st.SaveProgress(ctx, 0, []jobstore.Progress{{Key: l, Done: true}}); err != nil {
+		if err := st.SaveProgress(ctx, 0, []jobstore.Progress{{Key: l, Listed: true}}); err != nil {
 			t.Fatal(err)
 		}
-		got, err := open(ctx, s.For("b")).LoadProgress(ctx, 0)
-		if err != nil || len(got) != 1 || got[0].Key != k || got[0].Last != 9 || string(got[0].Text) != "nine" {
+		got, err := open(ctx, s.ClientFor("b")).LoadProgress(ctx, 0)
+		if err != nil || len(got) != 1 || got[0].Key != k || got[0].LastEvent != 9 || string(got[0].Text) != "nine" {
 			t.Fatalf("got progress %v and error %v, want only that of item 1", got, err)
 		}
 	})
--- a/jobstore/places.go
+++ b/jobstore/places.go
@@ -114,7 +114,7 @@
 		defer func() { <-p.probeSlot }()
 		ctx, cancel := context.WithTimeout(s.baseCtx, probeTimeout)
 		defer cancel()
-		_ = p.follower.Catch(ctx, 0) // the follower records a success itself
+		_ = p.follower.CatchUp(ctx, 0) // the follower records a success itself
 	}()
 }
 
--- a/jobstore/progress.go
+++ b/jobstore/progress.go
@@ -20,10 +20,10 @@
 // Progress records how far an unfinished item has run. Text is a prefix of the item's
 // output, and any target can resume after the last complete event.
 type Progress struct {
-	Key  ItemKey
-	Last uint64 // last complete event
-	Text []byte
-	Done bool // the result is listed, so the saved progress is deleted
+	Key       ItemKey
+	LastEvent uint64 // last complete event
+	Text      []byte
+	Listed    bool // the result is listed, so the saved progress is deleted
 }
 
 // maxProgressBytes is the maximum size of the saved text of an item. It fits into one
@@ -41,8 +41,8 @@
 			continue
 		}
 		r := store.Record{Key: p.Key.Job + "/" + strconv.Itoa(p.Key.Item)}
-		if !p.Done {
-			value, err := proto.Marshal(&wire.ItemProgress{LastEvent: p.Last, Text: p.Text})
+		if !p.Listed {
+			value, err := proto.Marshal(&wire.ItemProgress{LastEvent: p.LastEvent, Text: p.Text})
 			if err != nil {
 				return err
 			}
@@ -50,7 +50,7 @@
 		}
 		recs = append(recs, r)
 	}
-	for _, group := range splitAppends(recs, s.settings.CallBytes) {
+	for _, group := range splitAppends(recs, s.settings.MaxAppendBytes) {
 		part := store.Partition{Topic: s.settings.ProgressTopic, Number: number}
 		if _, err := s.log.Append(ctx, part, group, store.AnyEnd); err != nil {
 			return err
@@ -75,7 +75,7 @@
 			s.logger.Warn("progress record cannot be decoded; the item restarts from the beginning")
 			continue
 		}
-		out = append(out, Progress{Key: ItemKey{job, index}, Last: p.GetLastEvent(), Text: p.GetText()})
+		out = append(out, Progress{Key: ItemKey{job, index}, LastEvent: p.GetLastEvent(), Text: p.GetText()})
 	}
 	return out, nil
 }
--- a/jobstore/read.go
+++ b/jobstore/read.go
@@ -37,7 +37,7 @@
 	for until := time.Now().Add(maxWait); ; {
 		res, changed, ok := p.results(id, from)
 		if !ok {
-			return Results{}, ErrUnknownJob
+			return Results{}, ErrJobNotFound
 		}
 		if len(res.Items) > 0 || res.Next >= res.Total {
 			return res, nil
@@ -52,7 +52,7 @@
 	}
 	res, _, ok := p.results(id, from)
 	if !ok {
-		return Results{}, ErrUnknownJob
+		return Results{}, ErrJobNotFound
 	}
 	return res, nil
 }
@@ -60,7 +60,7 @@
 // results returns the results of a job from a position on and a channel that is closed at
 // the next change. ok is false if the partition does not have the job.
 func (p *partition) results(id string, from int) (res Results, changed <-chan struct{}, ok bool) {
-	p.follower.Look(func(_ int64, ch <-chan struct{}) {
+	p.follower.View(func(_ int64, ch <-chan struct{}) {
 		changed = ch
 		j := p.table.Get(id)
 		if j == nil {
@@ -109,11 +109,11 @@
 	if body, ok := p.body(id, item); ok {
 		return body, nil
 	}
-	return nil, ErrUnknownJob
+	return nil, ErrJobNotFound
 }
 
 func (p *partition) body(id, item string) (body []byte, ok bool) {
-	p.follower.Look(func(int64, <-chan struct{}) {
+	p.follower.View(func(int64, <-chan struct{}) {
 		if j := p.table.Get(id); j != nil {
 			body, ok = itemBody(j.Spec, item)
 		}
@@ -132,13 +132,13 @@
 
 // OpenItem is an item without a listed result.
 type OpenItem struct {
-	Home       int // partition in which its result is listed
-	Job        string
-	Index      int
-	Spec       *wire.JobSpec
-	Item       *wire.JobItem
-	Failed     int  // recorded number of failed attempts
-	Impossible bool // a target reported that the item can never succeed
+	Home           int // partition in which its result is listed
+	Job            string
+	Index          int
+	Spec           *wire.JobSpec
+	Item           *wire.JobItem
+	FailedAttempts int  // recorded number of failed attempts
+	Impossible     bool // a target reported that the item can never succeed
 	// HandOff is the spec to store in the home partition if that may not have the job yet,
 	// and nil otherwise.
 	HandOff *wire.JobSpec
@@ -149,14 +149,14 @@
 	return ItemKey{Job: o.Job, Item: o.Index}
 }
 
-// Open returns the items that the runner of a partition still has to run: those of the
+// OpenItems returns the items that the runner of a partition still has to run: those of the
 // partition's own jobs and those of the hints that it keeps for other partitions. It locks
 // one follower at a time, so it reads the other partitions after this one.
-func (s *Store) Open(number int) []OpenItem {
+func (s *Store) OpenItems(number int) []OpenItem {
 	p := s.forRunner(number)
 	var items []OpenItem
 	var hints []*wire.JobSpec
-	p.follower.Look(func(int64, <-chan struct{}) {
+	p.follower.View(func(int64, <-chan struct{}) {
 		for _, j := range p.table.Jobs() {
 			if j.Open() && runFrom(j.Spec, number) == number {
 				items = append(items, openItems(j, number)...)
@@ -174,7 +174,7 @@
 func (s *Store) openHint(hint *wire.JobSpec, number int) (items []OpenItem) {
 	home := s.forRunner(s.PartitionOf(hint.GetId()))
 	accepted := false
-	home.follower.Look(func(int64, <-chan struct{}) {
+	home.follower.View(func(int64, <-chan struct{}) {
 		j := home.table.Get(hint.GetId())
 		if accepted = j != nil; accepted && j.Open() && runFrom(j.Spec, home.number) == number {
 			items = openItems(j, home.number)
@@ -197,7 +197,7 @@
 			continue
 		}
 		failed, impossible := j.Failures(i)
-		out = append(out, OpenItem{Home: home, Job: j.ID, Index: i, Spec: j.Spec, Item: it, Failed: failed, Impossible: impossible})
+		out = append(out, OpenItem{Home: home, Job: j.ID, Index: i, Spec: j.Spec, Item: it, FailedAttempts: failed, Impossible: impossible})
 	}
 	return out
 }
@@ -210,5 +210,5 @@
 // Refresh ensures that a partition's state is at most maxAge old. It reads the store if
 // necessary.
 func (s *Store) Refresh(ctx context.Context, number int, maxAge time.Duration) error {
-	return s.forRunner(number).follower.Catch(ctx, maxAge)
+	return s.forRunner(number).follower.CatchUp(ctx, maxAge)
 }
--- a/ledger/commit.go
+++ b/ledger/commit.go
@@ -71,7 +71,7 @@
 	}
 	age := now.Sub(o.resultsSince)
 	due := o.bufferedBytes >= o.cfg.ResultsBytes || age >= o.cfg.ResultsEvery || o.draining ||
-		(age >= o.cfg.FinishEvery && o.completesJob())
+		(age >= o.cfg.FinishDelay && o.completesJob())
 	// A record that is written for a caller also takes the buffered results,
 	// which saves an append.
 	if len(o.results) > 0 && (due || len(g.writes) > 0) {
@@ -221,7 +221,7 @@
 	if errors.Is(err, infra.ErrTooLarge) {
 		return apierr.New(apierr.CodeTooLarge, "record over the log's limit")
 	}
-	return apierr.Unknown(apierr.CodeNotOwner, "partition changed hands").After(time.Second)
+	return apierr.MaybeExecuted(apierr.CodeNotOwner, "partition changed hands").WithRetryAfter(time.Second)
 }
 
 // commit queues entries and waits until they are read back from the log or ctx
@@ -239,9 +239,9 @@
 		o.mu.Unlock()
 		return notOwner()
 	}
-	if o.stream.Failing() {
+	if o.stream.Unavailable() {
 		o.mu.Unlock()
-		return apierr.New(apierr.CodeLogDown, "the platform's log does not answer").After(time.Second)
+		return apierr.New(apierr.CodeLogUnavailable, "the platform's log does not answer").WithRetryAfter(time.Second)
 	}
 	o.queuedWrites = append(o.queuedWrites, w)
 	o.mu.Unlock()
@@ -263,8 +263,8 @@
 	for i, queued := range o.queuedWrites {
 		if queued == w {
 			o.queuedWrites = append(o.queuedWrites[:i:i], o.queuedWrites[i+1:]...)
-			return apierr.New(apierr.CodeLogDown, "the platform's log does not answer").After(time.Second)
+			return apierr.New(apierr.CodeLogUnavailable, "the platform's log does not answer").WithRetryAfter(time.Second)
 		}
 	}
-	return apierr.Unknown(apierr.CodeLogDown, "the platform's log does not answer; ask again with the same key").After(time.Second)
+	return apierr.MaybeExecuted(apierr.CodeLogUnavailable, "the platform's log does not answer; ask again with the same key").WithRetryAfter(time.Second)
 }
--- a/ledger/dispatch.go
+++ b/ledger/dispatch.go
@@ -48,7 +48,7 @@
 	if !o.owned() || o.draining || !f.declared || f.leaving || f.want <= 0 {
 		return nil
 	}
-	if now.Sub(o.takenOverAt) < o.cfg.Grace || o.bufferedBytes >= o.cfg.MaxBuffered {
+	if now.Sub(o.takenOverAt) < o.cfg.GracePeriod || o.bufferedBytes >= o.cfg.MaxBufferedBytes {
 		return nil
 	}
 	o.dispatcher.SetShares(o.cfg.Share)
@@ -234,7 +234,7 @@
 	defer cancel()
 	page, err := log.Read(ctx, stream, offset, 1, 0)
 	if err != nil {
-		return nil, apierr.New(apierr.CodeLogDown, "reading the log: %v", err).After(time.Second)
+		return nil, apierr.New(apierr.CodeLogUnavailable, "reading the log: %v", err).WithRetryAfter(time.Second)
 	}
 	if len(page.Records) == 0 || page.Records[0].Offset != offset {
 		return nil, apierr.New(apierr.CodeInternal, "record is not where it should be")
--- a/ledger/feed.go
+++ b/ledger/feed.go
@@ -15,9 +15,9 @@
 // ErrStreamClosed reports that this side closed a batch stream.
 var ErrStreamClosed = errors.New("batch stream closed")
 
-// Stream is one batch stream to an agent. Close may be called concurrently with
+// AgentStream is one batch stream to an agent. Close may be called concurrently with
 // Send and Recv, and makes both fail.
-type Stream interface {
+type AgentStream interface {
 	Send(m *wire.FeedDown) error
 	Recv(m *wire.FeedUp) error
 	Close()
@@ -28,7 +28,7 @@
 type feed struct {
 	owner  *Owner
 	agent  string
-	stream Stream
+	stream AgentStream
 
 	mu        sync.Mutex
 	outgoing  *wire.FeedDown
@@ -49,7 +49,7 @@
 const feedKeepalive = time.Second
 
 // Attach serves the batch stream to an agent until the stream or ctx ends.
-func (o *Owner) Attach(ctx context.Context, agent string, stream Stream) {
+func (o *Owner) Attach(ctx context.Context, agent string, stream AgentStream) {
 	f := &feed{
 		owner:    o,
 		agent:    agent,
--- a/ledger/lease.go
+++ b/ledger/lease.go
@@ -42,7 +42,7 @@
 		return nil
 	}
 	began := time.Now()
-	err := o.stream.Catchup(ctx)
+	err := o.stream.ReadToTail(ctx)
 	if err != nil && !errors.Is(err, infra.ErrUnavailable) {
 		return err
 	}
@@ -78,7 +78,7 @@
 		fresh := now.Sub(o.caughtUpAt) <= readLeaseDuration && !now.Before(o.readsAllowedAt)
 		o.catchupRequested = !fresh
 		o.mu.Unlock()
-		if fresh || (o.stream.Failing() && !now.Before(o.readsAllowedAt)) {
+		if fresh || (o.stream.Unavailable() && !now.Before(o.readsAllowedAt)) {
 			return nil
 		}
 		if ctx.Err() != nil || time.Now().After(until) {
--- a/ledger/manager.go
+++ b/ledger/manager.go
@@ -44,7 +44,7 @@
 	cfg = cfg.withDefaults()
 	return &Manager{
 		cfg:           cfg,
-		log:           cfg.Logger.Part("ledger"),
+		log:           cfg.Logger.WithPrefix("ledger"),
 		owners:        make(map[uint32]*runningOwner),
 		proposedSince: make(map[uint32]time.Time),
 		onStart:       onStart,
@@ -122,7 +122,7 @@
 		for p := uint32(0); p < m.cfg.Partitions; p++ {
 			m.reconcile(ctx, p)
 		}
-		m.cfg.Metrics.Gauge("partitions_run", float64(len(m.Owners())))
+		m.cfg.Metrics.SetGauge("partitions_run", float64(len(m.Owners())))
 		select {
 		case <-ctx.Done():
 			return
--- a/ledger/ops.go
+++ b/ledger/ops.go
@@ -148,7 +148,7 @@
 		return nil, notOwner()
 	}
 	if !batch.SameJob(j, c) {
-		return nil, apierr.New(apierr.CodeKeyConflict, "the idempotency key belongs to a job with another content")
+		return nil, apierr.New(apierr.CodeIdempotencyConflict, "the idempotency key belongs to a job with another content")
 	}
 	return o.jobReply(j), nil
 }
@@ -442,7 +442,7 @@
 		return nil, notOwner()
 	}
 	if !bytes.Equal(recorded.GetDigest(), k.GetDigest()) {
-		return nil, apierr.New(apierr.CodeKeyConflict, "the idempotency key belongs to another request")
+		return nil, apierr.New(apierr.CodeIdempotencyConflict, "the idempotency key belongs to another request")
 	}
 	return &wire.PeerReply{Key: &wire.KeyReply{
 		Request: recorded.GetRequest(),
--- a/ledger/owner.go
+++ b/ledger/owner.go
@@ -39,18 +39,18 @@
 	// default 6 s. With 64 owners at 58 items a second each, one append holds
 	// about 350 items. Agents keep results until they are durable.
 	ResultsEvery time.Duration
-	// FinishEvery replaces ResultsEvery when the buffered results complete a
+	// FinishDelay replaces ResultsEvery when the buffered results complete a
 	// job, default 100 ms.
-	FinishEvery time.Duration
+	FinishDelay time.Duration
 	// ResultsBytes is the size of the buffered results in bytes at which they
 	// are appended at once, default 256 KiB.
 	ResultsBytes int
-	// MaxBuffered is the size in bytes of results that are not durable yet at
+	// MaxBufferedBytes is the size in bytes of results that are not durable yet at
 	// which dispatch stops, default 32 MiB.
-	MaxBuffered int
+	MaxBufferedBytes int
 	// Grace is how long a new owner waits for agents to report what they hold
 	// before it grants items, default 1 s.
-	Grace time.Duration
+	GracePeriod time.Duration
 	// AgentLostAfter is how long a disconnected agent keeps its items, default
 	// 5 s.
 	AgentLostAfter time.Duration
@@ -90,10 +90,10 @@
 	defaults.Set(&c.RecordLimit, defaultRecordLimit)
 	defaults.Set(&c.CommitEvery, defaultCommitEvery)
 	defaults.Set(&c.ResultsEvery, defaultResultsEvery)
-	defaults.Set(&c.FinishEvery, defaultFinishEvery)
+	defaults.Set(&c.FinishDelay, defaultFinishEvery)
 	defaults.Set(&c.ResultsBytes, defaultResultsBytes)
-	defaults.Set(&c.MaxBuffered, defaultMaxBuffered)
-	defaults.Set(&c.Grace, defaultGrace)
+	defaults.Set(&c.MaxBufferedBytes, defaultMaxBuffered)
+	defaults.Set(&c.GracePeriod, defaultGrace)
 	defaults.Set(&c.AgentLostAfter, defaultAgentLostAfter)
 	defaults.Set(&c.InDoubtAfter, defaultInDoubtAfter)
 	defaults.Set(&c.SnapshotEvery, defaultSnapshotEvery)
@@ -173,7 +173,7 @@
 		cfg:             cfg,
 		inc:             oplog.NewIncarnation(),
 		number:          number,
-		log:             cfg.Logger.Part("ledger"),
+		log:             cfg.Logger.WithPrefix("ledger"),
 		feeds:           make(map[string]*feed),
 		disconnectedAt:  make(map[string]time.Time),
 		cancels:         make(map[batch.JobID]*cancelWait),
@@ -197,7 +197,7 @@
 // notOwner returns the error for callers while this node does not own the
 // partition.
 func notOwner() *apierr.Error {
-	return apierr.New(apierr.CodeNotOwner, "partition is changing hands").After(time.Second)
+	return apierr.New(apierr.CodeNotOwner, "partition is changing hands").WithRetryAfter(time.Second)
 }
 
 // Run recovers the partition, takes it over and runs it until ctx ends, a release
--- a/ledger/recover.go
+++ b/ledger/recover.go
@@ -45,7 +45,7 @@
 	o.partition = part
 	o.mu.Unlock()
 	o.stream = oplog.NewStream(o.cfg.Log, StreamName(o.number), o.inc, part.Next(), o.apply)
-	return o.stream.Catchup(ctx)
+	return o.stream.ReadToTail(ctx)
 }
 
 // LoadPartition returns the state of a partition from its newest snapshot, or an
@@ -145,7 +145,7 @@
 		_ = wait.For(ctx, recoverRetryInterval)
 		// Errors are ignored: while the log does not answer, the last known
 		// holder stands, and the next round reads again.
-		_ = o.stream.Catchup(ctx)
+		_ = o.stream.ReadToTail(ctx)
 	}
 }
 
--- a/link/link.go
+++ b/link/link.go
@@ -5,7 +5,7 @@
 // result does not delay an online token. On every session the dialling side sends
 // heartbeats, at a shorter interval while streams are open, and the accepting side echoes
 // them with its own status. A session whose heartbeat is not echoed within
-// Config.SilentAfter is closed: a connection can stop delivering data for good while new
+// Config.HeartbeatTimeout is closed: a connection can stop delivering data for good while new
 // connections work, and TCP alone would detect that only after many minutes.
 package link
 
@@ -47,17 +47,17 @@
 	TLS         *tls.Config // nil means connections without TLS, for loopback only
 	Dial        DialFunc    // nil means TCP
 
-	// HeartbeatEvery is the time between heartbeats on a session with open streams,
+	// HeartbeatInterval is the time between heartbeats on a session with open streams,
 	// default 500 ms.
-	HeartbeatEvery time.Duration
-	// IdleEvery is the time between heartbeats on a session without open streams,
+	HeartbeatInterval time.Duration
+	// IdleHeartbeatInterval is the time between heartbeats on a session without open streams,
 	// default 2 s. Most sessions of a fleet are idle, and their heartbeats are most
 	// of the control traffic.
-	IdleEvery time.Duration
-	// SilentAfter is how long a heartbeat may go unanswered before the session
+	IdleHeartbeatInterval time.Duration
+	// HeartbeatTimeout is how long a heartbeat may go unanswered before the session
 	// is closed, default 2 s.
-	SilentAfter time.Duration
-	DialTimeout time.Duration // default 2 s
+	HeartbeatTimeout time.Duration
+	DialTimeout      time.Duration // default 2 s
 
 	// Status returns the status of this node, which heartbeats carry.
 	Status func() *wire.NodeStatus
@@ -65,9 +65,9 @@
 	// session; a nil status means unchanged. The address is empty for a peer that
 	// dialled this node.
 	OnStatus func(addr string, st *wire.NodeStatus)
-	// OnLost is called with the address of a peer whose session, held open by
+	// OnDisconnect is called with the address of a peer whose session, held open by
 	// Peer.Keep, was lost or cannot be dialled.
-	OnLost func(addr string)
+	OnDisconnect func(addr string)
 	// Handle serves a stream that the peer opened. If it is nil, the stream is closed.
 	Handle Handler
 }
@@ -77,11 +77,11 @@
 
 // Default values of Config, and the time within which the hello message has to arrive.
 const (
-	DefaultHeartbeatEvery = 500 * time.Millisecond
-	DefaultIdleEvery      = 2 * time.Second
-	DefaultSilentAfter    = 2 * time.Second
-	DefaultDialTimeout    = 2 * time.Second
-	helloTimeout          = 2 * time.Second
+	DefaultHeartbeatInterval     = 500 * time.Millisecond
+	DefaultIdleHeartbeatInterval = 2 * time.Second
+	DefaultHeartbeatTimeout      = 2 * time.Second
+	DefaultDialTimeout           = 2 * time.Second
+	helloTimeout                 = 2 * time.Second
 )
 
 // DialError reports that no session could be opened. The call was not sent.
@@ -104,9 +104,9 @@
 var ErrClosed = errors.New("link closed")
 
 func (c Config) withDefaults() Config {
-	defaults.Set(&c.HeartbeatEvery, DefaultHeartbeatEvery)
-	defaults.Set(&c.IdleEvery, DefaultIdleEvery)
-	defaults.Set(&c.SilentAfter, DefaultSilentAfter)
+	defaults.Set(&c.HeartbeatInterval, DefaultHeartbeatInterval)
+	defaults.Set(&c.IdleHeartbeatInterval, DefaultIdleHeartbeatInterval)
+	defaults.Set(&c.HeartbeatTimeout, DefaultHeartbeatTimeout)
 	defaults.Set(&c.DialTimeout, DefaultDialTimeout)
 	if c.Dial == nil {
 		c.Dial = dialTCP
@@ -114,8 +114,8 @@
 	if c.Status == nil {
 		c.Status = func() *wire.NodeStatus { return &wire.NodeStatus{} }
 	}
-	if c.OnLost == nil {
-		c.OnLost = func(string) {}
+	if c.OnDisconnect == nil {
+		c.OnDisconnect = func(string) {}
 	}
 	if c.OnStatus == nil {
 		c.OnStatus = func(string, *wire.NodeStatus) {}
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -173,7 +173,7 @@
 				if err == nil {
 					break
 				}
-				if time.Since(start) > DefaultIdleEvery+2*DefaultSilentAfter {
+				if time.Since(start) > DefaultIdleHeartbeatInterval+2*DefaultHeartbeatTimeout {
 					t.Fatalf("%s: session not replaced after %s", name, time.Since(start))
 				}
 			}
@@ -206,7 +206,7 @@
 		t.Fatal("TLS versions below 1.3 are allowed")
 	}
 	for name, cfg := range map[string]*tls.Config{"another authority": loadTLS(t, untrusted.files(t)), "no tls": nil} {
-		p := NewPeer(Config{TLS: cfg, SilentAfter: time.Second}, ln.Addr().String())
+		p := NewPeer(Config{TLS: cfg, HeartbeatTimeout: time.Second}, ln.Addr().String())
 		callCtx, cancelCall := context.WithTimeout(ctx, 3*time.Second)
 		if err := callPeer(callCtx, p); err == nil {
 			t.Errorf("%s: the call succeeded, want an error", name)
@@ -246,7 +246,7 @@
 	defer cancel()
 	var armed, cut *atomic.Bool
 	var dials atomic.Int32
-	cfg := Config{HeartbeatEvery: 20 * time.Millisecond, IdleEvery: 20 * time.Millisecond, SilentAfter: 200 * time.Millisecond}
+	cfg := Config{HeartbeatInterval: 20 * time.Millisecond, IdleHeartbeatInterval: 20 * time.Millisecond, HeartbeatTimeout: 200 * time.Millisecond}
 	far := cfg
 	far.Handle = replyRevoked
 	cfg.Dial = func(context.Context, string) (net.Conn, error) {
--- a/link/peer.go
+++ b/link/peer.go
@@ -65,20 +65,20 @@
 	return st.Recv(reply)
 }
 
-// Keep holds a session of a class open until ctx ends, so that the peer's status keeps
+// KeepConnected holds a session of a class open until ctx ends, so that the peer's status keeps
 // arriving. It waits for pause after a failed dial.
-func (p *Peer) Keep(ctx context.Context, class Class, pause time.Duration) {
+func (p *Peer) KeepConnected(ctx context.Context, class Class, pause time.Duration) {
 	for ctx.Err() == nil && p.ctx.Err() == nil {
 		s, err := p.session(ctx, class)
 		if err != nil {
-			p.cfg.OnLost(p.addr)
+			p.cfg.OnDisconnect(p.addr)
 			_ = wait.For(ctx, pause)
 			continue
 		}
 		select {
 		case <-ctx.Done():
 		case <-s.mux.CloseChan():
-			p.cfg.OnLost(p.addr)
+			p.cfg.OnDisconnect(p.addr)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	}
 	s := newSession(p.cfg, class, p.addr, mux)
 	go s.closeOnDone(p.ctx)
-	go s.watch(s.cfg.SilentAfter)
+	go s.watch(s.cfg.HeartbeatTimeout)
 	go s.sendHeartbeats()
 	go s.accept(p.ctx)
 	return s, nil
--- a/link/session.go
+++ b/link/session.go
@@ -67,7 +67,7 @@
 // watch closes the session when heartbeats fail for longer than timeout: on the dialling
 // side when one is unanswered, on the accepting side when none arrives.
 func (s *session) watch(timeout time.Duration) {
-	tick := time.NewTicker(s.cfg.HeartbeatEvery)
+	tick := time.NewTicker(s.cfg.HeartbeatInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -108,9 +108,9 @@
 // session has ended.
 func (s *session) waitNextHeartbeat() bool {
 	const heartbeatStreams = 1
-	interval := s.cfg.IdleEvery
+	interval := s.cfg.IdleHeartbeatInterval
 	if s.mux.NumStreams() > heartbeatStreams {
-		interval = s.cfg.HeartbeatEvery
+		interval = s.cfg.HeartbeatInterval
 	}
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
@@ -123,7 +123,7 @@
 		case <-s.wake:
 			// The next heartbeat is due at once only if the session was idle and its idle
 			// interval is the longer one.
-			if interval == s.cfg.IdleEvery && interval > s.cfg.HeartbeatEvery {
+			if interval == s.cfg.IdleHeartbeatInterval && interval > s.cfg.HeartbeatInterval {
 				return true
 			}
 		}
@@ -204,7 +204,7 @@
 func (s *session) serve(ctx context.Context, conn *yamux.Stream) {
 	st := newStream(conn)
 	defer st.Close()
-	st.SetDeadline(time.Now().Add(s.cfg.SilentAfter))
+	st.SetDeadline(time.Now().Add(s.cfg.HeartbeatTimeout))
 	call := &wire.Call{}
 	if st.Recv(call) != nil {
 		return
@@ -256,6 +256,6 @@
 	defer stop()
 	defer s.close()
 	s.waitingSince.Store(time.Now().UnixNano())
-	go s.watch(s.cfg.IdleEvery + s.cfg.SilentAfter)
+	go s.watch(s.cfg.IdleHeartbeatInterval + s.cfg.HeartbeatTimeout)
 	s.accept(ctx)
 }
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -40,8 +40,8 @@
 	return Logger{base: base}
 }
 
-// Part returns a Logger whose messages start with name and a colon.
-func (l Logger) Part(name string) Logger {
+// WithPrefix returns a Logger whose messages start with name and a colon.
+func (l Logger) WithPrefix(name string) Logger {
 	return Logger{base: l.base, prefix: name + ": "}
 }
 
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -61,8 +61,8 @@
 	s.events.WithLabelValues(kind).Inc()
 }
 
-// Gauge sets the gauge of a kind of state.
-func (s *Set) Gauge(kind string, value float64) {
+// SetGauge sets the gauge of a kind of state.
+func (s *Set) SetGauge(kind string, value float64) {
 	s.gauges.WithLabelValues(kind).Set(value)
 }
 
--- a/online/answer.go
+++ b/online/answer.go
@@ -11,10 +11,10 @@
 	"pumiceford/wire"
 )
 
-// Answer buffers the frames of a response at the agent while it is generated. It keeps
+// Response buffers the frames of a response at the agent while it is generated. It keeps
 // all frames, so that a reader that lost its connection can resume at any frame. It
 // is safe for concurrent use.
-type Answer struct {
+type Response struct {
 	id []byte
 
 	mu      sync.Mutex
@@ -25,14 +25,14 @@
 	tokens  uint32
 }
 
-// NewAnswer returns an empty buffer for the response to a request id.
-func NewAnswer(id []byte) *Answer {
-	return &Answer{id: id, digest: xxhash.New(), changed: make(chan struct{})}
+// NewResponse returns an empty buffer for the response to a request id.
+func NewResponse(id []byte) *Response {
+	return &Response{id: id, digest: xxhash.New(), changed: make(chan struct{})}
 }
 
 // Add appends a piece of text of the given number of tokens. It does nothing after
 // End or Fail.
-func (r *Answer) Add(text string, tokens uint32) {
+func (r *Response) Add(text string, tokens uint32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -45,7 +45,7 @@
 // End appends the last text, if any, and closes a complete response with end, in which
 // it sets the count and the digest. Readers are notified once for both frames, so that
 // these are sent in one write. End does nothing after an earlier End or Fail.
-func (r *Answer) End(text string, tokens uint32, end *wire.End) {
+func (r *Response) End(text string, tokens uint32, end *wire.End) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -61,7 +61,7 @@
 	r.notify()
 }
 
-func (r *Answer) appendPiece(text string, tokens uint32) {
+func (r *Response) appendPiece(text string, tokens uint32) {
 	// Writing to the digest never fails.
 	_, _ = r.digest.WriteString(text)
 	r.tokens += tokens
@@ -70,7 +70,7 @@
 
 // Fail closes a response that stays incomplete. It does nothing after an earlier End or
 // Fail.
-func (r *Answer) Fail(f *wire.Failure) {
+func (r *Response) Fail(f *wire.Failure) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -81,21 +81,21 @@
 	r.notify()
 }
 
-func (r *Answer) appendFrame(f *wire.Frame) {
+func (r *Response) appendFrame(f *wire.Frame) {
 	f.Id = r.id
 	f.Seq = uint64(len(r.frames))
 	r.frames = append(r.frames, f)
 }
 
 // notify wakes the readers. The caller holds r.mu.
-func (r *Answer) notify() {
+func (r *Response) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// From returns the frames from sequence number seq on, whether the response is closed,
+// FramesFrom returns the frames from sequence number seq on, whether the response is closed,
 // and a channel that is closed when further frames are added.
-func (r *Answer) From(seq uint64) (frames []*wire.Frame, closed bool, changed <-chan struct{}) {
+func (r *Response) FramesFrom(seq uint64) (frames []*wire.Frame, closed bool, changed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if seq < uint64(len(r.frames)) {
@@ -105,7 +105,7 @@
 }
 
 // Tokens returns how many tokens were added so far.
-func (r *Answer) Tokens() uint32 {
+func (r *Response) Tokens() uint32 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.tokens
--- a/online/assembler.go
+++ b/online/assembler.go
@@ -31,8 +31,8 @@
 	return &Assembler{id: id, pending: make(map[uint64]*wire.Frame), digest: xxhash.New()}
 }
 
-// Next returns the lowest sequence number that was not received.
-func (a *Assembler) Next() uint64 { return a.next }
+// NextSeq returns the lowest sequence number that was not received.
+func (a *Assembler) NextSeq() uint64 { return a.next }
 
 // Tokens returns how many tokens the pieces in order have.
 func (a *Assembler) Tokens() uint32 { return a.tokens }
@@ -43,9 +43,9 @@
 // Failure returns the failure that ended the response, nil if there is none.
 func (a *Assembler) Failure() *wire.Failure { return a.failure }
 
-// Take adds one frame and returns the pieces that it completes, in order. It ignores
+// AddFrame adds one frame and returns the pieces that it completes, in order. It ignores
 // duplicates and frames after the end. An error means that the response is unusable.
-func (a *Assembler) Take(f *wire.Frame) ([]*wire.Piece, error) {
+func (a *Assembler) AddFrame(f *wire.Frame) ([]*wire.Piece, error) {
 	if !bytes.Equal(f.GetId(), a.id) {
 		// Without this check, streams that were mixed up would give one caller the
 		// response to another caller's request, and only text that does not match the
--- a/online/budget.go
+++ b/online/budget.go
@@ -21,8 +21,8 @@
 	return &RetryBudget{tokens: maxRetryTokens}
 }
 
-// Success adds tokensPerSuccess tokens for a successful request.
-func (b *RetryBudget) Success() {
+// RecordSuccess adds tokensPerSuccess tokens for a successful request.
+func (b *RetryBudget) RecordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+tokensPerSuccess, maxRetryTokens)
--- a/online/life.go
+++ b/online/life.go
@@ -27,14 +27,14 @@
 	TriggerRevoke Trigger = "revoke"
 )
 
-// Life is the life cycle of one request at the agent. It is authoritative on
+// Lifecycle is the life cycle of one request at the agent. It is authoritative on
 // whether the request ran.
-type Life struct {
+type Lifecycle struct {
 	machine *stateless.StateMachine
 }
 
-// NewLife returns the life cycle of a new request, which is in state Queued.
-func NewLife() *Life {
+// NewLifecycle returns the life cycle of a new request, which is in state Queued.
+func NewLifecycle() *Lifecycle {
 	m := stateless.NewStateMachine(Queued)
 	m.Configure(Queued).
 		Permit(TriggerStart, Started).
@@ -48,21 +48,21 @@
 	m.Configure(Revoked).
 		Ignore(TriggerFinish).
 		Ignore(TriggerRevoke)
-	return &Life{machine: m}
+	return &Lifecycle{machine: m}
 }
 
 // Fire applies a trigger. It reports false if the current state does not permit it.
-func (l *Life) Fire(t Trigger) bool {
+func (l *Lifecycle) Fire(t Trigger) bool {
 	return l.machine.Fire(t) == nil
 }
 
 // State returns the current state.
-func (l *Life) State() State {
+func (l *Lifecycle) State() State {
 	return l.machine.MustState().(State)
 }
 
 // Ran returns whether the request was executed, at least in part.
-func (l *Life) Ran() wire.Ran {
+func (l *Lifecycle) Ran() wire.Ran {
 	switch l.State() {
 	case Queued, Revoked:
 		return wire.Ran_RAN_NO
--- a/oplog/oplog.go
+++ b/oplog/oplog.go
@@ -61,9 +61,9 @@
 // flight any more.
 const maxWriters = 4096
 
-// Fresh reports whether a record is not a duplicate, and if so stores its
+// Accept reports whether a record is not a duplicate, and if so stores its
 // sequence number.
-func (d *Dedupe) Fresh(inc Incarnation, seq, offset uint64) bool {
+func (d *Dedupe) Accept(inc Incarnation, seq, offset uint64) bool {
 	if last, ok := d.writers[inc]; ok && seq <= last.seq {
 		return false
 	}
--- a/oplog/writer.go
+++ b/oplog/writer.go
@@ -33,9 +33,9 @@
 
 	unavailable atomic.Bool
 
-	// RetryPause is the wait between attempts while the log does not answer,
+	// RetryInterval is the wait between attempts while the log does not answer,
 	// default 100 ms.
-	RetryPause time.Duration
+	RetryInterval time.Duration
 	// CallTimeout bounds one call to the log, default 3 s. A read that waits for
 	// records gets the wait in addition.
 	CallTimeout time.Duration
@@ -52,13 +52,13 @@
 // from offset next on.
 func NewStream(log infra.Log, name string, inc Incarnation, next uint64, apply Apply) *Stream {
 	return &Stream{
-		log:         log,
-		name:        name,
-		inc:         inc,
-		next:        next,
-		apply:       apply,
-		RetryPause:  defaultRetryInterval,
-		CallTimeout: defaultCallTimeout,
+		log:           log,
+		name:          name,
+		inc:           inc,
+		next:          next,
+		apply:         apply,
+		RetryInterval: defaultRetryInterval,
+		CallTimeout:   defaultCallTimeout,
 	}
 }
 
@@ -67,15 +67,15 @@
 	return s.next
 }
 
-// Skip sets the offset of the next record to read, for use after a snapshot was
+// SeekTo sets the offset of the next record to read, for use after a snapshot was
 // restored.
-func (s *Stream) Skip(offset uint64) {
+func (s *Stream) SeekTo(offset uint64) {
 	s.next = offset
 }
 
-// Failing reports whether the last call to the log got no answer. Any goroutine
+// Unavailable reports whether the last call to the log got no answer. Any goroutine
 // may call it.
-func (s *Stream) Failing() bool {
+func (s *Stream) Unavailable() bool {
 	return s.unavailable.Load()
 }
 
@@ -118,8 +118,8 @@
 	return page.Tail, nil
 }
 
-// Catchup reads and applies records up to the tail.
-func (s *Stream) Catchup(ctx context.Context) error {
+// ReadToTail reads and applies records up to the tail.
+func (s *Stream) ReadToTail(ctx context.Context) error {
 	for {
 		tail, err := s.Poll(ctx, 0)
 		if err != nil {
@@ -199,7 +199,7 @@
 // duplicate.
 func (s *Stream) readBack(ctx context.Context, acked bool) (uint64, bool) {
 	for {
-		err := s.Catchup(ctx)
+		err := s.ReadToTail(ctx)
 		if s.confirmed {
 			return s.confirmedOffset, true
 		}
@@ -217,9 +217,9 @@
 }
 
 // waitRetry waits before the next attempt: for the time that a throttling log
-// asked for, or else for RetryPause.
+// asked for, or else for RetryInterval.
 func (s *Stream) waitRetry(ctx context.Context, cause error) error {
-	d := s.RetryPause
+	d := s.RetryInterval
 	var throttled *infra.ThrottledError
 	if errors.As(cause, &throttled) && throttled.RetryAfter > 0 {
 		d = throttled.RetryAfter
--- a/peers/grants.go
+++ b/peers/grants.go
@@ -17,17 +17,17 @@
 	// grantHeartbeat is the heartbeat interval of these sessions, whether idle or in use. It is
 	// the longest interval that the other side accepts. Each request has its own timeout, so
 	// an unresponsive session need not be detected sooner.
-	grantHeartbeat = link.DefaultIdleEvery
+	grantHeartbeat = link.DefaultIdleHeartbeatInterval
 	// unansweredTimeout is how long a session may leave requests unanswered before it is
 	// replaced. Replacing it after each late answer would keep a temporarily slow host
 	// slow, since it would spend its time on opening sessions.
 	unansweredTimeout = 1500 * time.Millisecond
 )
 
-// Grants requests rate-limit grants from other processes. It keeps one session per process
-// open while the session is in use. It implements ratelimit.Asker and is safe for concurrent
+// GrantClient requests rate-limit grants from other processes. It keeps one session per process
+// open while the session is in use. It implements ratelimit.GrantClient and is safe for concurrent
 // use.
-type Grants struct {
+type GrantClient struct {
 	cfg link.Config
 
 	mu       sync.Mutex
@@ -44,22 +44,22 @@
 	unansweredSince time.Time
 }
 
-// NewGrants returns a client without open sessions. It overrides the heartbeat intervals of cfg.
-func NewGrants(cfg link.Config) *Grants {
-	cfg.IdleEvery, cfg.HeartbeatEvery = grantHeartbeat, grantHeartbeat
-	return &Grants{cfg: cfg, sessions: make(map[string]*grantSession)}
+// NewGrantClient returns a client without open sessions. It overrides the heartbeat intervals of cfg.
+func NewGrantClient(cfg link.Config) *GrantClient {
+	cfg.IdleHeartbeatInterval, cfg.HeartbeatInterval = grantHeartbeat, grantHeartbeat
+	return &GrantClient{cfg: cfg, sessions: make(map[string]*grantSession)}
 }
 
-// Ask implements ratelimit.Asker.
-func (g *Grants) Ask(ctx context.Context, addr string, req ratelimit.Ask) ratelimit.Reply {
+// RequestGrants implements ratelimit.GrantClient.
+func (g *GrantClient) RequestGrants(ctx context.Context, addr string, req ratelimit.GrantRequest) ratelimit.GrantReply {
 	r, err := g.call(ctx, addr, &wire.GrantAsk{
 		Workspace: req.Limit.Workspace, Version: req.Limit.Version, Rate: req.Limit.Rate, Burst: req.Limit.Burst,
 		Share: uint32(req.Share), Want: uint32(req.Want), Unused: uint32(req.Unused),
 	})
 	if err != nil {
-		return ratelimit.Reply{Outcome: ratelimit.Unanswered}
+		return ratelimit.GrantReply{Outcome: ratelimit.Unanswered}
 	}
-	out := ratelimit.Reply{Outcome: ratelimit.NotActing, Granted: int(r.GetGranted()), Again: time.Duration(r.GetAgainMs()) * time.Millisecond}
+	out := ratelimit.GrantReply{Outcome: ratelimit.NotActing, Granted: int(r.GetGranted()), RetryAfter: time.Duration(r.GetAgainMs()) * time.Millisecond}
 	switch r.GetOutcome() {
 	case wire.GrantReply_GRANTED:
 		out.Outcome = ratelimit.Granted
@@ -72,13 +72,13 @@
 
 // Acts asks the process at addr whether it acts for a shard. answered is false when the
 // process gives no answer.
-func (g *Grants) Acts(ctx context.Context, addr string, shard int) (acts, answered bool) {
+func (g *GrantClient) Acts(ctx context.Context, addr string, shard int) (acts, answered bool) {
 	r, err := g.call(ctx, addr, &wire.GrantAsk{Shard: uint32(shard)})
 	return err == nil && r.GetOutcome() == wire.GrantReply_GRANTED, err == nil
 }
 
 // call sends one request over the session with addr.
-func (g *Grants) call(ctx context.Context, addr string, req *wire.GrantAsk) (*wire.GrantReply, error) {
+func (g *GrantClient) call(ctx context.Context, addr string, req *wire.GrantAsk) (*wire.GrantReply, error) {
 	start := time.Now()
 	s := g.session(addr)
 	r := &wire.GrantReply{}
@@ -89,7 +89,7 @@
 
 // recordResult records whether a request was answered, and closes a session that has left
 // requests unanswered for unansweredTimeout.
-func (g *Grants) recordResult(addr string, s *grantSession, start time.Time, answered bool) {
+func (g *GrantClient) recordResult(addr string, s *grantSession, start time.Time, answered bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
@@ -104,7 +104,7 @@
 }
 
 // session returns the session with addr, creating it when there is none.
-func (g *Grants) session(addr string) *grantSession {
+func (g *GrantClient) session(addr string) *grantSession {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -121,7 +121,7 @@
 }
 
 // sweep closes the sessions that have been idle for grantIdleTimeout. g.mu is held.
-func (g *Grants) sweep(now time.Time) {
+func (g *GrantClient) sweep(now time.Time) {
 	g.sweptAt = now
 	for addr, s := range g.sessions {
 		if now.Sub(s.lastUsed) > grantIdleTimeout {
@@ -132,7 +132,7 @@
 }
 
 // Close closes all sessions.
-func (g *Grants) Close() {
+func (g *GrantClient) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for addr, s := range g.sessions {
@@ -143,23 +143,23 @@
 
 // Granter decides on requests for rate-limit grants.
 type Granter interface {
-	Grant(req ratelimit.Ask) ratelimit.Reply
+	Grant(req ratelimit.GrantRequest) ratelimit.GrantReply
 }
 
 // grant answers a request for a rate-limit grant or, if it names no workspace, a query
 // whether this process acts for a shard.
 func (s *Server) grant(req *wire.GrantAsk) *wire.GrantReply {
 	if req.GetWorkspace() == "" {
-		if _, ok := s.Acting(int(req.GetShard())); ok {
+		if _, ok := s.ActingSince(int(req.GetShard())); ok {
 			return &wire.GrantReply{Outcome: wire.GrantReply_GRANTED}
 		}
 		return &wire.GrantReply{Outcome: wire.GrantReply_NOT_ACTING}
 	}
-	r := s.Granter.Grant(ratelimit.Ask{
+	r := s.Granter.Grant(ratelimit.GrantRequest{
 		Limit: ratelimit.Limit{Workspace: req.GetWorkspace(), Version: req.GetVersion(), Rate: req.GetRate(), Burst: req.GetBurst()},
 		Share: int(req.GetShare()), Want: int(req.GetWant()), Unused: int(req.GetUnused()),
 	})
-	out := &wire.GrantReply{Outcome: wire.GrantReply_NOT_ACTING, Granted: uint32(r.Granted), AgainMs: uint32(r.Again.Milliseconds())}
+	out := &wire.GrantReply{Outcome: wire.GrantReply_NOT_ACTING, Granted: uint32(r.Granted), AgainMs: uint32(r.RetryAfter.Milliseconds())}
 	switch r.Outcome {
 	case ratelimit.Granted:
 		out.Outcome = wire.GrantReply_GRANTED
--- a/peers/grants_test.go
+++ b/peers/grants_test.go
@@ -20,9 +20,9 @@
 }
 
 // Grant implements peers.Granter.
-func (g slowGranter) Grant(req ratelimit.Ask) ratelimit.Reply {
+func (g slowGranter) Grant(req ratelimit.GrantRequest) ratelimit.GrantReply {
 	time.Sleep(g.delay)
-	return ratelimit.Reply{Outcome: ratelimit.Granted, Granted: req.Want}
+	return ratelimit.GrantReply{Outcome: ratelimit.Granted, Granted: req.Want}
 }
 
 // askRepeatedly sends requests at an interval to a process that takes delay for each. It
@@ -39,7 +39,7 @@
 		}()
 		server := &peers.Server{Granter: slowGranter{delay}}
 		var written atomic.Int64
-		g := peers.NewGrants(link.Config{Dial: func(context.Context, string) (net.Conn, error) {
+		g := peers.NewGrantClient(link.Config{Dial: func(context.Context, string) (net.Conn, error) {
 			dials++
 			near, far := net.Pipe()
 			go link.ServeConn(ctx, far, link.Config{Handle: server.Handle})
@@ -48,7 +48,7 @@
 		defer g.Close()
 		for i := range requests {
 			callCtx, stop := context.WithTimeout(ctx, 80*time.Millisecond)
-			r := g.Ask(callCtx, "there", ratelimit.Ask{Limit: ratelimit.Limit{Workspace: "w", Rate: 5}, Want: 1})
+			r := g.RequestGrants(callCtx, "there", ratelimit.GrantRequest{Limit: ratelimit.Limit{Workspace: "w", Rate: 5}, Want: 1})
 			stop()
 			if r.Outcome == ratelimit.Granted {
 				answered++
@@ -118,7 +118,7 @@
 		}()
 		server := &peers.Server{Granter: slowGranter{}}
 		var dropping *atomic.Bool // of the newest connection
-		g := peers.NewGrants(link.Config{Dial: func(context.Context, string) (net.Conn, error) {
+		g := peers.NewGrantClient(link.Config{Dial: func(context.Context, string) (net.Conn, error) {
 			near, far := net.Pipe()
 			dropping = &atomic.Bool{}
 			go link.ServeConn(ctx, far, link.Config{Handle: server.Handle})
@@ -128,7 +128,7 @@
 		ask := func() bool {
 			callCtx, stop := context.WithTimeout(ctx, 80*time.Millisecond)
 			defer stop()
-			return g.Ask(callCtx, "there", ratelimit.Ask{Limit: ratelimit.Limit{Workspace: "w", Rate: 5}, Want: 1}).Outcome == ratelimit.Granted
+			return g.RequestGrants(callCtx, "there", ratelimit.GrantRequest{Limit: ratelimit.Limit{Workspace: "w", Rate: 5}, Want: 1}).Outcome == ratelimit.Granted
 		}
 		if !ask() {
 			t.Fatal("no answer on a working connection")
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -28,7 +28,7 @@
 	Granter Granter
 	// This function returns the time since which this process has acted for a shard, or
 	// false while it does not act for it.
-	Acting func(shard int) (since time.Duration, ok bool)
+	ActingSince func(shard int) (since time.Duration, ok bool)
 }
 
 // JobServer executes calls about jobs.
@@ -189,25 +189,25 @@
 	return m, err
 }
 
-// Caller makes calls about jobs to other entries. It opens a new session for each call: an
+// JobClient makes calls about jobs to other entries. It opens a new session for each call: an
 // entry calls each other entry only a few times per minute, so persistent sessions would
 // cost more heartbeats than calls.
-type Caller struct {
+type JobClient struct {
 	cfg link.Config
 }
 
 // jobDialTimeout bounds opening a connection, which takes one round trip.
 const jobDialTimeout = 250 * time.Millisecond
 
-// NewCaller returns a client that dials with jobDialTimeout.
-func NewCaller(cfg link.Config) *Caller {
+// NewJobClient returns a client that dials with jobDialTimeout.
+func NewJobClient(cfg link.Config) *JobClient {
 	cfg.DialTimeout = jobDialTimeout
-	return &Caller{cfg: cfg}
+	return &JobClient{cfg: cfg}
 }
 
 // Call makes a call to the entry at addr. It fails with a link.DialError when the call was
 // not sent.
-func (c *Caller) Call(ctx context.Context, addr string, call *wire.JobCall) (*wire.JobReply, error) {
+func (c *JobClient) Call(ctx context.Context, addr string, call *wire.JobCall) (*wire.JobReply, error) {
 	peer := link.NewPeer(c.cfg, addr)
 	defer peer.Close()
 	reply := &wire.JobReply{}
@@ -221,8 +221,8 @@
 // at least one of them while it refuses a third of all hosts.
 const maxPeers = 4
 
-// Ring keeps the sessions with the peers of one entry. It is safe for concurrent use.
-type Ring struct {
+// Pool keeps the sessions with the peers of one entry. It is safe for concurrent use.
+type Pool struct {
 	self string // address of this entry
 	cfg  link.Config
 
@@ -231,9 +231,9 @@
 	order      []string // addresses of the peers, in rotating order
 }
 
-// NewRing returns a set of peers that starts with the seeds.
-func NewRing(self string, cfg link.Config, seeds []string) *Ring {
-	r := &Ring{self: self, cfg: cfg, connByAddr: make(map[string]*link.Peer)}
+// NewPool returns a set of peers that starts with the seeds.
+func NewPool(self string, cfg link.Config, seeds []string) *Pool {
+	r := &Pool{self: self, cfg: cfg, connByAddr: make(map[string]*link.Peer)}
 	r.Set(seeds)
 	return r
 }
@@ -241,7 +241,7 @@
 // Set replaces the known peers. Entries select different peers, so that the failure of one
 // peer does not affect all entries. The known peers stay if addrs contains no other
 // entry.
-func (r *Ring) Set(addrs []string) {
+func (r *Pool) Set(addrs []string) {
 	var candidates []string
 	for _, a := range addrs {
 		if a != r.self && a != "" && !slices.Contains(candidates, a) {
@@ -264,7 +264,7 @@
 }
 
 // Close closes the sessions with all peers.
-func (r *Ring) Close() {
+func (r *Pool) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for addr, p := range r.connByAddr {
@@ -274,7 +274,7 @@
 }
 
 // connections returns the sessions with all peers, each of which dials on its first call.
-func (r *Ring) connections() []*link.Peer {
+func (r *Pool) connections() []*link.Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []*link.Peer
@@ -287,9 +287,9 @@
 	return out
 }
 
-// Ways returns clients of the store through the peers. It rotates their order on each
+// StorePeers returns clients of the store through the peers. It rotates their order on each
 // call.
-func (r *Ring) Ways() []store.Peer {
+func (r *Pool) StorePeers() []store.Peer {
 	var out []store.Peer
 	for _, p := range r.connections() {
 		out = append(out, PeerStore{peer: p})
@@ -307,7 +307,7 @@
 
 // Fetch asks the peers in turn for their catalog and targets, until one returns them, and
 // imports these into view.
-func (r *Ring) Fetch(ctx context.Context, view *fleet.View) {
+func (r *Pool) Fetch(ctx context.Context, view *fleet.View) {
 	for _, p := range r.connections() {
 		callCtx, cancel := context.WithTimeout(ctx, fetchTimeout)
 		reply := &wire.CatalogReply{}
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -44,7 +44,7 @@
 type fixture struct {
 	store      *sharedstore.Store
 	helperView *fleet.View // view of the entry that serves calls
-	pool       *peers.Ring // peers of the entry that makes calls
+	pool       *peers.Pool // peers of the entry that makes calls
 }
 
 var testPartition = store.Partition{Topic: "t", Number: 1}
@@ -59,8 +59,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		fx := &fixture{store: sharedstore.New(4), helperView: newView()}
-		server := &peers.Server{Store: fx.store.For("b"), View: fx.helperView}
-		fx.pool = peers.NewRing("a:1", link.Config{Node: "a", Dial: func(_ context.Context, addr string) (net.Conn, error) {
+		server := &peers.Server{Store: fx.store.ClientFor("b"), View: fx.helperView}
+		fx.pool = peers.NewPool("a:1", link.Config{Node: "a", Dial: func(_ context.Context, addr string) (net.Conn, error) {
 			if addr != "b:1" {
 				return nil, errors.New("connection refused: only b:1 listens")
 			}
@@ -80,7 +80,7 @@
 // Calls through a peer return the results and errors of the store unchanged.
 func TestCallsThroughPeer(t *testing.T) {
 	withPeerPair(t, func(ctx context.Context, t *testing.T, fx *fixture) {
-		clients := fx.pool.Ways()
+		clients := fx.pool.StorePeers()
 		if len(clients) != 1 {
 			t.Fatalf("got %d peers, want 1", len(clients))
 		}
@@ -103,7 +103,7 @@
 		if err != nil || len(snap.Records) != 1 || snap.End != 1 {
 			t.Fatalf("newest: got %+v, error %v", snap, err)
 		}
-		fx.store.Forget(testPartition)
+		fx.store.DropHistory(testPartition)
 		var trimmed *store.TrimmedError
 		if _, err := client.Read(ctx, testPartition, 0, 0); !errors.As(err, &trimmed) || trimmed.First != 1 {
 			t.Fatalf("read of trimmed records: got error %v, want records from 1 retained", err)
@@ -116,7 +116,7 @@
 		if _, err := client.Append(ctx, testPartition, recs, 0); !errors.Is(err, store.ErrRefused) {
 			t.Fatalf("append refused to the peer: got error %v, want ErrRefused", err)
 		}
-		fx.store.SetFault("b", sharedstore.LoseAnswer)
+		fx.store.SetFault("b", sharedstore.LoseResponse)
 		short, stop := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer stop()
 		if _, err := client.Append(short, testPartition, recs, 1); !errors.Is(err, store.ErrUnavailable) {
@@ -130,7 +130,7 @@
 func TestUnreachablePeerRefusesCalls(t *testing.T) {
 	withPeerPair(t, func(ctx context.Context, t *testing.T, fx *fixture) {
 		fx.pool.Set([]string{"gone:1"})
-		_, err := fx.pool.Ways()[0].Append(ctx, testPartition, nil, 0)
+		_, err := fx.pool.StorePeers()[0].Append(ctx, testPartition, nil, 0)
 		if !errors.Is(err, store.ErrRefused) || errors.Is(err, store.ErrUnavailable) {
 			t.Fatalf("got error %v, want only ErrRefused", err)
 		}
@@ -156,15 +156,15 @@
 
 // Known peers stay when an update names no other entry, and an entry is not its own peer.
 func TestSetKeepsKnownPeers(t *testing.T) {
-	r := peers.NewRing("a:1", link.Config{Node: "a"}, []string{"b:1", "a:1", "b:1", ""})
+	r := peers.NewPool("a:1", link.Config{Node: "a"}, []string{"b:1", "a:1", "b:1", ""})
 	defer r.Close()
 	r.Set(nil)
 	r.Set([]string{"a:1"})
-	if n := len(r.Ways()); n != 1 {
+	if n := len(r.StorePeers()); n != 1 {
 		t.Fatalf("got %d peers, want 1", n)
 	}
 	r.Set([]string{"b:1", "c:1", "d:1", "e:1", "f:1", "g:1"})
-	if n := len(r.Ways()); n != 4 {
+	if n := len(r.StorePeers()); n != 4 {
 		t.Fatalf("got %d peers from six addresses, want 4", n)
 	}
 }
--- a/quarantine/archive.go
+++ b/quarantine/archive.go
@@ -28,7 +28,7 @@
 // process is left to send its marks to the new ones, and each would have to observe the same
 // crashes again.
 type Archive struct {
-	tracker  *Keeper
+	tracker  *Tracker
 	store    store.Log
 	log      logging.Logger
 	replicas []*archiveReplica
@@ -44,9 +44,9 @@
 
 // NewArchive returns an Archive that persists the held requests of tr in a topic with the given
 // number of partitions.
-func NewArchive(tr *Keeper, l store.Log, topic string, partitions int, log logging.Logger) *Archive {
+func NewArchive(tr *Tracker, l store.Log, topic string, partitions int, log logging.Logger) *Archive {
 	a := &Archive{tracker: tr, store: l, log: log}
-	for _, p := range store.Spread(topic, partitions, archiveReplicaCount) {
+	for _, p := range store.SpreadPartitions(topic, partitions, archiveReplicaCount) {
 		a.replicas = append(a.replicas, &archiveReplica{partition: p, saved: make(map[Key]uint64)})
 	}
 	return a
@@ -55,7 +55,7 @@
 // Run loads the stored requests and then writes changes, until ctx ends.
 func (a *Archive) Run(ctx context.Context) {
 	for {
-		suspects := a.tracker.Cases()
+		suspects := a.tracker.Suspects()
 		for _, rep := range a.replicas {
 			if time.Now().Before(rep.retryAt) {
 				continue
--- a/quarantine/attribute.go
+++ b/quarantine/attribute.go
@@ -64,20 +64,20 @@
 // attribution finds the culprits among a set of requests.
 type attribution struct {
 	candidates []*candidate
-	byTarget   map[targets.Life][]*candidate
-	explained  map[targets.Life]bool
+	byTarget   map[targets.Incarnation][]*candidate
+	explained  map[targets.Incarnation]bool
 }
 
 // candidate is a request that may be a culprit.
 type candidate struct {
 	key     Key
-	targets []targets.Life
+	targets []targets.Incarnation
 	weight  int // sum over its crashes, less the discounts for explained ones
 	culprit bool
 }
 
 func newAttribution() *attribution {
-	return &attribution{byTarget: make(map[targets.Life][]*candidate), explained: make(map[targets.Life]bool)}
+	return &attribution{byTarget: make(map[targets.Incarnation][]*candidate), explained: make(map[targets.Incarnation]bool)}
 }
 
 func (a *attribution) add(r *record) {
@@ -94,7 +94,7 @@
 
 // explain records that the cause of a crash is known and reduces the weight of the candidates
 // that ran on its target.
-func (a *attribution) explain(target targets.Life) {
+func (a *attribution) explain(target targets.Incarnation) {
 	if a.explained[target] {
 		return
 	}
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -59,8 +59,8 @@
 	return sim
 }
 
-func (s *simTarget) instance() targets.Life {
-	return targets.Life{ID: fmt.Sprint(s.id, ".", s.incarnation)}
+func (s *simTarget) instance() targets.Incarnation {
+	return targets.Incarnation{ID: fmt.Sprint(s.id, ".", s.incarnation)}
 }
 
 // send sends a request to a random target with a free slot. It reports whether the request is
--- a/quarantine/spread.go
+++ b/quarantine/spread.go
@@ -24,7 +24,7 @@
 // Follow exchanges marks with the agent at peer until ctx ends. Entries have no connections to
 // each other, and the store may be unavailable, so the agents that an entry watches anyway
 // relay the marks.
-func Follow(ctx context.Context, peer *link.Peer, tr *Keeper) {
+func Follow(ctx context.Context, peer *link.Peer, tr *Tracker) {
 	for ctx.Err() == nil {
 		st, err := peer.Open(ctx, link.Control, &wire.Call{Kind: &wire.Call_Marks{Marks: &wire.Marks{}}})
 		if err == nil { // the link logs failed connections
@@ -37,7 +37,7 @@
 // Exchange sends all marks and then each change to the other end of a stream, and merges the
 // marks that it receives, until the stream or ctx ends. Only changes are relayed, so
 // nothing more is sent once all processes have the same marks.
-func (tr *Keeper) Exchange(ctx context.Context, st *link.Stream) {
+func (tr *Tracker) Exchange(ctx context.Context, st *link.Stream) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := context.AfterFunc(ctx, st.Close)
@@ -75,7 +75,7 @@
 	out := &wire.Marks{}
 	for _, m := range marks {
 		out.Marks = append(out.Marks, &wire.Mark{
-			Key: m.Key[:], Instance: m.Target.ID, Born: m.Target.Born, AtUnixMs: m.At.UnixMilli(), Answered: m.Answered, Void: m.Void,
+			Key: m.Key[:], Instance: m.Target.ID, Born: m.Target.StartedUnixMs, AtUnixMs: m.At.UnixMilli(), Answered: m.Answered, Void: m.Void,
 		})
 	}
 	return out
@@ -89,7 +89,7 @@
 			continue
 		}
 		out = append(out, Mark{
-			Key: Key(m.GetKey()), Target: targets.Life{ID: m.GetInstance(), Born: m.GetBorn()},
+			Key: Key(m.GetKey()), Target: targets.Incarnation{ID: m.GetInstance(), StartedUnixMs: m.GetBorn()},
 			At: time.UnixMilli(m.GetAtUnixMs()), Answered: m.GetAnswered(), Void: m.GetVoid(),
 		})
 	}
--- a/quarantine/spread_test.go
+++ b/quarantine/spread_test.go
@@ -21,14 +21,14 @@
 
 func (crashedProber) Crashed(context.Context, targets.Instance) bool { return true }
 
-func newTracker() *quarantine.Keeper {
-	return quarantine.NewKeeper(quarantine.Config{Prober: crashedProber{}, Metrics: metrics.New("n")})
+func newTracker() *quarantine.Tracker {
+	return quarantine.NewTracker(quarantine.Config{Prober: crashedProber{}, Metrics: metrics.New("n")})
 }
 
 // reportCrashes records a crash of each given instance under a request.
-func reportCrashes(tr *quarantine.Keeper, key quarantine.Key, at ...string) {
+func reportCrashes(tr *quarantine.Tracker, key quarantine.Key, at ...string) {
 	for _, id := range at {
-		tr.Broke(context.Background(), quarantine.Run{Key: key, Target: targets.Instance{ID: id}})
+		tr.RecordBroken(context.Background(), quarantine.Run{Key: key, Target: targets.Instance{ID: id}})
 	}
 }
 
@@ -45,13 +45,13 @@
 	t.Fatalf("timed out waiting for %s", state)
 }
 
-func isHeld(tr *quarantine.Keeper, key quarantine.Key) bool {
+func isHeld(tr *quarantine.Tracker, key quarantine.Key) bool {
 	_, held := tr.Held(key)
 	return held
 }
 
 // serveAgent exchanges marks as an agent does, and returns its address.
-func serveAgent(ctx context.Context, t *testing.T, tr *quarantine.Keeper) string {
+func serveAgent(ctx context.Context, t *testing.T, tr *quarantine.Tracker) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -69,7 +69,7 @@
 func TestAgentsRelayMarksBetweenEntries(t *testing.T) {
 	ctx := t.Context()
 	first, second := serveAgent(ctx, t, newTracker()), serveAgent(ctx, t, newTracker())
-	follow := func(tr *quarantine.Keeper, addrs ...string) {
+	follow := func(tr *quarantine.Tracker, addrs ...string) {
 		for _, addr := range addrs {
 			peer := link.NewPeer(link.Config{Node: "entry"}, addr)
 			t.Cleanup(peer.Close)
@@ -83,7 +83,7 @@
 	key := testKey(1)
 	reportCrashes(a, key, "t1")
 	reportCrashes(b, key, "t2", "t3")
-	for name, tr := range map[string]*quarantine.Keeper{"a": a, "b": b, "c": c} {
+	for name, tr := range map[string]*quarantine.Tracker{"a": a, "b": b, "c": c} {
 		await(t, "the hold at "+name, func() bool { return isHeld(tr, key) })
 	}
 	follow(newEntry, second)
@@ -91,7 +91,7 @@
 	if !newEntry.Clear(key) {
 		t.Fatal("Clear found no crashes")
 	}
-	for name, tr := range map[string]*quarantine.Keeper{"a": a, "b": b, "c": c} {
+	for name, tr := range map[string]*quarantine.Tracker{"a": a, "b": b, "c": c} {
 		await(t, "the release at "+name, func() bool { return !isHeld(tr, key) })
 	}
 }
@@ -103,30 +103,30 @@
 func TestHeldRequestsSurviveRestartOfAllProcesses(t *testing.T) {
 	const topic, partitions = "quarantine", 6
 	s := sharedstore.New(partitions)
-	at := store.Spread(topic, partitions, 3)
-	run := func(tr *quarantine.Keeper) context.CancelFunc {
+	at := store.SpreadPartitions(topic, partitions, 3)
+	run := func(tr *quarantine.Tracker) context.CancelFunc {
 		ctx, stop := context.WithCancel(t.Context())
-		go quarantine.NewArchive(tr, s.For("n"), topic, partitions, logging.Logger{}).Run(ctx)
+		go quarantine.NewArchive(tr, s.ClientFor("n"), topic, partitions, logging.Logger{}).Run(ctx)
 		return stop
 	}
 	stored := func(p store.Partition) bool {
-		all, err := s.For("n").Newest(t.Context(), p, "")
+		all, err := s.ClientFor("n").Newest(t.Context(), p, "")
 		return err == nil && len(all.Records) > 0
 	}
 	key := testKey(1)
-	s.SetDown(at[0], true)
+	s.SetPartitionDown(at[0], true)
 	old := newTracker()
 	stop := run(old)
 	reportCrashes(old, key, "t1", "t2", "t3")
 	await(t, "two stored replicas", func() bool { return stored(at[1]) && stored(at[2]) })
 	stop()
-	s.SetDown(at[1], true)
+	s.SetPartitionDown(at[1], true)
 	next := newTracker()
 	defer run(next)()
 	await(t, "the hold in a new process", func() bool { return isHeld(next, key) })
-	s.SetDown(at[0], false)
-	s.SetDown(at[1], false)
-	next.Served(key)
+	s.SetPartitionDown(at[0], false)
+	s.SetPartitionDown(at[1], false)
+	next.RecordSuccess(key)
 	await(t, "the deletion of all replicas", func() bool { return !stored(at[0]) && !stored(at[1]) && !stored(at[2]) })
 	after := newTracker()
 	defer run(after)()
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -11,11 +11,11 @@
 
 // Limits of a Table.
 const (
-	// HoldFor is how long a request is held after its last crash. The next run then decides: if
+	// HoldDuration is how long a request is held after its last crash. The next run then decides: if
 	// it completes, the request is cleared; if its target crashes, the request is held again.
-	HoldFor = 10 * time.Minute
+	HoldDuration = 10 * time.Minute
 	// markTTL is how long a crash counts.
-	markTTL = 2 * HoldFor
+	markTTL = 2 * HoldDuration
 	// maxKeys and maxMarksPerKey bound memory and the data sent to a process that joins.
 	maxKeys        = 512
 	maxMarksPerKey = 16
@@ -32,7 +32,7 @@
 // state.
 type Mark struct {
 	Key    Key
-	Target targets.Life
+	Target targets.Incarnation
 	At     time.Time
 	// Answered says that the request's answer had begun. A request that crashes its targets
 	// usually does so before it answers, whereas the requests beside it have usually begun to
@@ -52,7 +52,7 @@
 // record holds the marks of one request.
 type record struct {
 	key   Key
-	marks map[targets.Life]*trackedMark
+	marks map[targets.Incarnation]*trackedMark
 }
 
 // weight returns the sum of the weights of the marks that are not void.
@@ -133,7 +133,7 @@
 	}
 	rec := t.records[m.Key]
 	if rec == nil {
-		rec = &record{key: m.Key, marks: make(map[targets.Life]*trackedMark)}
+		rec = &record{key: m.Key, marks: make(map[targets.Incarnation]*trackedMark)}
 	}
 	old := rec.marks[m.Target]
 	if old != nil {
@@ -271,7 +271,7 @@
 	if !t.culprits[key] {
 		return time.Time{}, false
 	}
-	until = t.records[key].lastCrash().Add(HoldFor)
+	until = t.records[key].lastCrash().Add(HoldDuration)
 	return until, now.Before(until)
 }
 
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -15,7 +15,7 @@
 var start = time.Unix(1000, 0)
 
 func mark(key, target int, after time.Duration) quarantine.Mark {
-	return quarantine.Mark{Key: testKey(key), Target: targets.Life{ID: fmt.Sprint("t", target)}, At: start.Add(after)}
+	return quarantine.Mark{Key: testKey(key), Target: targets.Incarnation{ID: fmt.Sprint("t", target)}, At: start.Add(after)}
 }
 
 // suspectStates describes each suspect of a table as a line of text.
@@ -74,25 +74,25 @@
 	}
 }
 
-// A hold ends after HoldFor. A further crash then holds the request again, and its marks
+// A hold ends after HoldDuration. A further crash then holds the request again, and its marks
 // expire.
 func TestHoldExpires(t *testing.T) {
 	tab := quarantine.NewTable()
 	for n := range 3 {
 		tab.AddCrash(start, mark(1, n, 0))
 	}
-	if until, held := tab.Held(start, testKey(1)); !held || !until.Equal(start.Add(quarantine.HoldFor)) {
+	if until, held := tab.Held(start, testKey(1)); !held || !until.Equal(start.Add(quarantine.HoldDuration)) {
 		t.Fatalf("held %v until %v", held, until)
 	}
-	over := start.Add(quarantine.HoldFor)
+	over := start.Add(quarantine.HoldDuration)
 	if _, held := tab.Held(over, testKey(1)); held {
 		t.Fatal("still held after the hold has ended")
 	}
-	tab.AddCrash(over, mark(1, 9, quarantine.HoldFor))
+	tab.AddCrash(over, mark(1, 9, quarantine.HoldDuration))
 	if _, held := tab.Held(over, testKey(1)); !held {
 		t.Fatal("not held after one more crash")
 	}
-	tab.Expire(over.Add(2*quarantine.HoldFor + time.Second))
+	tab.Expire(over.Add(2*quarantine.HoldDuration + time.Second))
 	if all := tab.MarksSince(0, nil); len(all) > 0 {
 		t.Fatalf("marks not expired: %v", all)
 	}
@@ -104,7 +104,7 @@
 	for n := range 3 {
 		tab.Merge(start, []quarantine.Mark{mark(1, n, time.Hour)}, nil)
 	}
-	if until, held := tab.Held(start, testKey(1)); !held || until.After(start.Add(quarantine.HoldFor)) {
+	if until, held := tab.Held(start, testKey(1)); !held || until.After(start.Add(quarantine.HoldDuration)) {
 		t.Fatalf("held %v until %v", held, until)
 	}
 }
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -31,16 +31,16 @@
 	settleDelay = 150 * time.Millisecond
 )
 
-// Config holds the dependencies that NewKeeper needs.
+// Config holds the dependencies that NewTracker needs.
 type Config struct {
 	Prober  Prober // nil in a process that sends no requests
 	Log     logging.Logger
 	Metrics *metrics.Set
 }
 
-// Keeper shares the Table of a process between goroutines. All methods are safe for concurrent
+// Tracker shares the Table of a process between goroutines. All methods are safe for concurrent
 // use. mu is never held during I/O.
-type Keeper struct {
+type Tracker struct {
 	cfg     Config
 	anyHeld atomic.Bool // true while any request is held; lets the common case skip the lock
 
@@ -50,25 +50,25 @@
 	changed chan struct{}     // closed and replaced at each change of the table
 }
 
-// NewKeeper returns an instance with an empty table.
-func NewKeeper(cfg Config) *Keeper {
-	return &Keeper{cfg: cfg, table: NewTable(), held: make(map[Key]time.Time), changed: make(chan struct{})}
+// NewTracker returns an instance with an empty table.
+func NewTracker(cfg Config) *Tracker {
+	return &Tracker{cfg: cfg, table: NewTable(), held: make(map[Key]time.Time), changed: make(chan struct{})}
 }
 
 // Run drops expired marks and updates the gauges until ctx ends.
-func (tr *Keeper) Run(ctx context.Context) {
+func (tr *Tracker) Run(ctx context.Context) {
 	for wait.For(ctx, expireInterval) == nil {
 		tr.update("its crashes have expired", func(now time.Time) { tr.table.Expire(now) })
 		held, suspected := 0, 0
-		for _, s := range tr.Cases() {
+		for _, s := range tr.Suspects() {
 			if s.Held {
 				held++
 			} else {
 				suspected++
 			}
 		}
-		tr.cfg.Metrics.Gauge("requests_held", float64(held))
-		tr.cfg.Metrics.Gauge("requests_suspected", float64(suspected))
+		tr.cfg.Metrics.SetGauge("requests_held", float64(held))
+		tr.cfg.Metrics.SetGauge("requests_suspected", float64(suspected))
 	}
 }
 
@@ -81,9 +81,9 @@
 	Took    time.Duration // time since the request was sent
 }
 
-// Broke records a run whose connection broke and reports whether its target crashed. It probes
+// RecordBroken records a run whose connection broke and reports whether its target crashed. It probes
 // the target, for at most probeTimeout.
-func (tr *Keeper) Broke(ctx context.Context, r Run) bool {
+func (tr *Tracker) RecordBroken(ctx context.Context, r Run) bool {
 	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	if !tr.cfg.Prober.Crashed(probeCtx, r.Target) {
@@ -94,31 +94,31 @@
 	tr.cfg.Log.Info("target crashed under a request", logging.F("key", r.Key.String()), logging.F("request", r.Request),
 		logging.F("instance", r.Target.ID), logging.F("events", r.Events), logging.F("took_ms", r.Took.Milliseconds()))
 	tr.update("crashes attributed to another request", func(now time.Time) {
-		tr.table.AddCrash(now, Mark{Key: r.Key, Target: r.Target.Life(), At: now, Answered: r.Events > 0})
+		tr.table.AddCrash(now, Mark{Key: r.Key, Target: r.Target.Incarnation(), At: now, Answered: r.Events > 0})
 	})
 	return true
 }
 
-// Served records that a request was answered completely.
-func (tr *Keeper) Served(key Key) {
+// RecordSuccess records that a request was answered completely.
+func (tr *Tracker) RecordSuccess(key Key) {
 	tr.update("it was answered completely", func(now time.Time) { tr.table.RecordSuccess(now, key) })
 }
 
 // Clear releases a request at an operator's demand. It reports false if no crash counts against
 // the request.
-func (tr *Keeper) Clear(key Key) (known bool) {
+func (tr *Tracker) Clear(key Key) (known bool) {
 	tr.update("cleared by an operator", func(time.Time) { known = tr.table.Clear(key) })
 	return known
 }
 
 // Merge applies marks received from another process. The value from identifies the stream or
 // Archive that they came from, so that they are not sent back to it.
-func (tr *Keeper) Merge(marks []Mark, from any) {
+func (tr *Tracker) Merge(marks []Mark, from any) {
 	tr.update("marks received from another process", func(now time.Time) { tr.table.Merge(now, marks, from) })
 }
 
 // Held reports whether a request must not run now, and for how long.
-func (tr *Keeper) Held(key Key) (left time.Duration, held bool) {
+func (tr *Tracker) Held(key Key) (left time.Duration, held bool) {
 	if !tr.anyHeld.Load() {
 		return 0, false
 	}
@@ -129,9 +129,9 @@
 	return until.Sub(now), held
 }
 
-// Settle waits until settleDelay has passed since a request became held, during which other
+// WaitSettled waits until settleDelay has passed since a request became held, during which other
 // processes may still release it. It returns at once if the request is not held.
-func (tr *Keeper) Settle(ctx context.Context, key Key) {
+func (tr *Tracker) WaitSettled(ctx context.Context, key Key) {
 	if !tr.anyHeld.Load() {
 		return
 	}
@@ -143,8 +143,8 @@
 	}
 }
 
-// Cases returns the requests that crashes are counted against, ordered by key.
-func (tr *Keeper) Cases() []Suspect {
+// Suspects returns the requests that crashes are counted against, ordered by key.
+func (tr *Tracker) Suspects() []Suspect {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	return tr.table.Suspects(time.Now())
@@ -153,7 +153,7 @@
 // marksSince returns the marks that changed after the given change number, the current change
 // number, and a channel that is closed at the next change. Marks received from except are left
 // out.
-func (tr *Keeper) marksSince(changes uint64, except any) ([]Mark, uint64, <-chan struct{}) {
+func (tr *Tracker) marksSince(changes uint64, except any) ([]Mark, uint64, <-chan struct{}) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	now := tr.table.Changes()
@@ -165,7 +165,7 @@
 
 // update applies fn to the table, and logs and counts the requests that become held or are
 // released by it. The reason why is logged with each release.
-func (tr *Keeper) update(why string, fn func(now time.Time)) {
+func (tr *Tracker) update(why string, fn func(now time.Time)) {
 	now := time.Now()
 	tr.mu.Lock()
 	before := tr.table.Changes()
@@ -197,7 +197,7 @@
 
 // heldDiffLocked returns the requests that became held and those that were released since the
 // last call. The caller holds mu.
-func (tr *Keeper) heldDiffLocked(now time.Time) (held, released []Key) {
+func (tr *Tracker) heldDiffLocked(now time.Time) (held, released []Key) {
 	if len(tr.table.culprits) == 0 && len(tr.held) == 0 {
 		return nil, nil // the usual case, for nearly every answer
 	}
--- a/ratelimit/cluster_test.go
+++ b/ratelimit/cluster_test.go
@@ -39,7 +39,7 @@
 type process struct {
 	limiter *ratelimit.Limiter
 	granter *ratelimit.Granter
-	shards  *shards.Keeper
+	shards  *shards.Manager
 	stop    context.CancelFunc
 }
 
@@ -101,10 +101,10 @@
 func (h *host) start(n int) {
 	c := h.c
 	ctx, cancel := context.WithCancel(c.ctx)
-	m := shards.NewKeeper(shards.Config{
-		Self: h.name, Shards: shardCount, Lease: lease, Log: c.store.For(h.name), Part: store.Partition{Topic: "shards"},
-		Wanted: func() bool { return true }, Watches: func(s int) bool { return s%len(c.hosts) == n || (s+1)%len(c.hosts) == n },
-		Acts: func(ctx context.Context, addr string, shard int) (bool, bool) {
+	m := shards.NewManager(shards.Config{
+		Self: h.name, Shards: shardCount, Lease: lease, Log: c.store.ClientFor(h.name), Partition: store.Partition{Topic: "shards"},
+		Needed: func() bool { return true }, Watches: func(s int) bool { return s%len(c.hosts) == n || (s+1)%len(c.hosts) == n },
+		IsActing: func(ctx context.Context, addr string, shard int) (bool, bool) {
 			to := c.processAt(h, addr)
 			if to == nil {
 				<-ctx.Done()
@@ -114,12 +114,12 @@
 			_, ok := to.shards.Active(shard)
 			return ok, true
 		},
-		Clock: c.clock, Out: logging.Logger{}, Metrics: metrics.New(h.name),
+		Clock: c.clock, Logger: logging.Logger{}, Metrics: metrics.New(h.name),
 	})
 	p := &process{shards: m, stop: cancel}
 	p.granter = ratelimit.NewGranter(ratelimit.GranterConfig{Tolerance: tolerance, Shards: shardCount, Active: m.Active, Clock: c.clock})
 	p.limiter = ratelimit.NewLimiter(ratelimit.LimiterConfig{
-		Self: h.name, Tolerance: tolerance, Shards: shardCount, Owner: m.Owner, Granter: p.granter, Asker: h, Clock: c.clock,
+		Self: h.name, Tolerance: tolerance, Shards: shardCount, Owner: m.Owner, Granter: p.granter, GrantClient: h, Clock: c.clock,
 	})
 	go m.Run(ctx)
 	c.mu.Lock()
@@ -140,9 +140,9 @@
 	h.c.mu.Lock()
 	h.isolated = isolated
 	h.c.mu.Unlock()
-	fault := sharedstore.None
+	fault := sharedstore.NoFault
 	if isolated {
-		fault = sharedstore.Silent
+		fault = sharedstore.NoResponse
 	}
 	h.c.store.SetFault(h.name, fault)
 }
@@ -160,14 +160,14 @@
 }
 
 // A request to a process that the host does not reach stays unanswered.
-func (h *host) Ask(ctx context.Context, addr string, req ratelimit.Ask) ratelimit.Reply {
+func (h *host) RequestGrants(ctx context.Context, addr string, req ratelimit.GrantRequest) ratelimit.GrantReply {
 	h.c.mu.Lock()
 	h.c.grantRequests++
 	h.c.mu.Unlock()
 	to := h.c.processAt(h, addr)
 	if to == nil {
 		<-ctx.Done()
-		return ratelimit.Reply{Outcome: ratelimit.Unanswered}
+		return ratelimit.GrantReply{Outcome: ratelimit.Unanswered}
 	}
 	time.Sleep(roundTrip / 2)
 	r := to.granter.Grant(req)
@@ -190,7 +190,7 @@
 		if c.clock()-start > 200*time.Millisecond {
 			c.slow++
 		}
-		var over *ratelimit.OverError
+		var over *ratelimit.OverLimitError
 		switch {
 		case err == nil:
 			c.admitted[l.Workspace] = append(c.admitted[l.Workspace], c.clock())
@@ -385,11 +385,11 @@
 		},
 		"store does not answer": func(c *cluster) {
 			for _, h := range c.hosts {
-				c.store.SetFault(h.name, sharedstore.Silent)
+				c.store.SetFault(h.name, sharedstore.NoResponse)
 			}
 			time.Sleep(3 * time.Second)
 			for _, h := range c.hosts {
-				c.store.SetFault(h.name, sharedstore.None)
+				c.store.SetFault(h.name, sharedstore.NoFault)
 			}
 		},
 	}
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Ask is a request for grants to the process that acts for the shard of a share.
-type Ask struct {
+// GrantRequest is a request for grants to the process that acts for the shard of a share.
+type GrantRequest struct {
 	Limit  Limit
 	Share  int // index among the shares of the workspace
 	Want   int // number of grants requested
@@ -30,11 +30,11 @@
 	Unanswered
 )
 
-// Reply is the reply to a grant request.
-type Reply struct {
-	Outcome Outcome
-	Granted int
-	Again   time.Duration // minimum wait before the next request, if Denied
+// GrantReply is the reply to a grant request.
+type GrantReply struct {
+	Outcome    Outcome
+	Granted    int
+	RetryAfter time.Duration // minimum wait before the next request, if Denied
 }
 
 // GranterConfig configures a Granter.
@@ -70,18 +70,18 @@
 // Grant answers a grant request. The lifetime of the grants starts when the requester sent
 // the request. The requester ignores late replies, so grants from a process that was
 // frozen meanwhile are never spent.
-func (g *Granter) Grant(req Ask) Reply {
+func (g *Granter) Grant(req GrantRequest) GrantReply {
 	if req.Limit.Rate <= 0 || req.Want < 0 || req.Unused < 0 {
-		return Reply{Outcome: NotActing}
+		return GrantReply{Outcome: NotActing}
 	}
 	plan := NewPlan(req.Limit, g.cfg.Tolerance, g.cfg.Shards)
 	if req.Share < 0 || req.Share >= len(plan.Shares) {
-		return Reply{Outcome: NotActing}
+		return GrantReply{Outcome: NotActing}
 	}
 	share := plan.Shares[req.Share]
 	since, ok := g.cfg.Active(share.Shard)
 	if !ok {
-		return Reply{Outcome: NotActing}
+		return GrantReply{Outcome: NotActing}
 	}
 	now := g.cfg.Clock()
 	g.mu.Lock()
@@ -91,9 +91,9 @@
 	b.credit(req.Unused)
 	granted, retryAfter := b.take(now, req.Want)
 	if retryAfter > 0 {
-		return Reply{Outcome: Denied, Again: retryAfter}
+		return GrantReply{Outcome: Denied, RetryAfter: retryAfter}
 	}
-	return Reply{Outcome: Granted, Granted: granted}
+	return GrantReply{Outcome: Granted, Granted: granted}
 }
 
 // bucket returns the bucket of a share and creates it if it is missing or from an earlier
@@ -125,26 +125,26 @@
 	}
 }
 
-// Use is the state of a share that this process grants.
-type Use struct {
+// ShareUsage is the state of a share that this process grants.
+type ShareUsage struct {
 	Workspace string  `json:"workspace"`
 	Share     int     `json:"share"`
 	Rate      float64 `json:"rate"`   // grants per second
-	Left      float64 `json:"left"`   // grants available now
+	Remaining float64 `json:"left"`   // grants available now
 	Denied    float64 `json:"denied"` // denied grant requests, with a half-life of one second
 }
 
-// Uses returns the state of all shares that this process grants, the most denied first.
-func (g *Granter) Uses() []Use {
+// Usage returns the state of all shares that this process grants, the most denied first.
+func (g *Granter) Usage() []ShareUsage {
 	now := g.cfg.Clock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := []Use{}
+	out := []ShareUsage{}
 	for k, b := range g.buckets {
 		b.fill(now)
-		out = append(out, Use{Workspace: k.workspace, Share: k.share, Rate: b.rate, Left: b.level, Denied: b.recentDenied})
+		out = append(out, ShareUsage{Workspace: k.workspace, Share: k.share, Rate: b.rate, Remaining: b.level, Denied: b.recentDenied})
 	}
-	slices.SortFunc(out, func(a, b Use) int {
+	slices.SortFunc(out, func(a, b ShareUsage) int {
 		return cmp.Or(cmp.Compare(b.Denied, a.Denied), cmp.Compare(a.Workspace, b.Workspace), cmp.Compare(a.Share, b.Share))
 	})
 	return out
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -38,49 +38,49 @@
 	shareIdleTimeout = 30 * time.Second
 )
 
-// OverError reports that a workspace has used up its rate limit.
-type OverError struct {
-	Workspace string
-	ComeBack  time.Duration // minimum wait before the next try
+// OverLimitError reports that a workspace has used up its rate limit.
+type OverLimitError struct {
+	Workspace  string
+	RetryAfter time.Duration // minimum wait before the next try
 }
 
 // Error implements error.
-func (e *OverError) Error() string {
+func (e *OverLimitError) Error() string {
 	return "workspace " + e.Workspace + " is over its rate limit"
 }
 
-// UngrantedError reports that some granters of a workspace did not reply or are not known,
+// NoGrantError reports that some granters of a workspace did not reply or are not known,
 // and that the others had no grants left.
-type UngrantedError struct {
-	Workspace string
-	Denied    int // shares without grants left
-	Silent    int // shares whose granter did not reply
-	NotActing int // shares for which no process is known to act
+type NoGrantError struct {
+	Workspace  string
+	Denied     int // shares without grants left
+	Unanswered int // shares whose granter did not reply
+	NotActing  int // shares for which no process is known to act
 }
 
 // Error implements error.
-func (e *UngrantedError) Error() string {
-	return fmt.Sprintf("workspace %s got no grant: %d shares used up, %d without reply, %d without granter", e.Workspace, e.Denied, e.Silent, e.NotActing)
+func (e *NoGrantError) Error() string {
+	return fmt.Sprintf("workspace %s got no grant: %d shares used up, %d without reply, %d without granter", e.Workspace, e.Denied, e.Unanswered, e.NotActing)
 }
 
-// ComeBack returns the minimum wait before the next try.
-func (e *UngrantedError) ComeBack() time.Duration { return noGrantRetryAfter }
+// RetryAfter returns the minimum wait before the next try.
+func (e *NoGrantError) RetryAfter() time.Duration { return noGrantRetryAfter }
 
-// Asker sends grant requests to other processes.
-type Asker interface {
+// GrantClient sends grant requests to other processes.
+type GrantClient interface {
 	// The outcome is Unanswered if the process at addr does not reply before ctx ends.
-	Ask(ctx context.Context, addr string, req Ask) Reply
+	RequestGrants(ctx context.Context, addr string, req GrantRequest) GrantReply
 }
 
 // LimiterConfig configures a Limiter.
 type LimiterConfig struct {
-	Self      string // address of this process as a granter
-	Tolerance Tolerance
-	Shards    int
-	Owner     func(shard int) string // address of the process that acts for a shard, "" if none is known
-	Granter   *Granter               // granter of this process
-	Asker     Asker
-	Clock     func() time.Duration // monotonic; includes the time in which the host is suspended
+	Self        string // address of this process as a granter
+	Tolerance   Tolerance
+	Shards      int
+	Owner       func(shard int) string // address of the process that acts for a shard, "" if none is known
+	Granter     *Granter               // granter of this process
+	GrantClient GrantClient
+	Clock       func() time.Duration // monotonic; includes the time in which the host is suspended
 }
 
 // Limiter admits the requests that arrive at this process within the limits of their
@@ -110,8 +110,8 @@
 
 // waiter is a request that waits for the reply to a grant request.
 type waiter struct {
-	reply     chan Reply // receives at most one reply
-	abandoned bool       // the request no longer waits; guarded by Limiter.mu
+	reply     chan GrantReply // receives at most one reply
+	abandoned bool            // the request no longer waits; guarded by Limiter.mu
 }
 
 // NewLimiter returns a Limiter that holds no grants.
@@ -120,29 +120,29 @@
 }
 
 // Admit admits one request and waits up to admitTimeout for a grant. Its errors are
-// *OverError and *UngrantedError; in both cases the request must not run.
+// *OverLimitError and *NoGrantError; in both cases the request must not run.
 func (l *Limiter) Admit(ctx context.Context, limit Limit) error {
 	plan := NewPlan(limit, l.cfg.Tolerance, l.cfg.Shards)
 	ctx, cancel := context.WithTimeout(ctx, admitTimeout)
 	defer cancel()
 	l.awaitAnyOwner(ctx)
-	noGrant := &UngrantedError{Workspace: limit.Workspace}
+	noGrant := &NoGrantError{Workspace: limit.Workspace}
 	retryAfter := maxRetryAfter
 	for _, s := range l.requestOrder(plan) {
-		if s.Reserve && noGrant.Silent+noGrant.NotActing == 0 {
-			return &OverError{Workspace: limit.Workspace, ComeBack: retryAfter}
+		if s.Reserve && noGrant.Unanswered+noGrant.NotActing == 0 {
+			return &OverLimitError{Workspace: limit.Workspace, RetryAfter: retryAfter}
 		}
 		r := l.take(ctx, limit, s, plan.GrantTTL)
 		switch r.Outcome {
 		case Granted:
 			return nil
 		case Denied:
-			retryAfter = min(retryAfter, r.Again)
+			retryAfter = min(retryAfter, r.RetryAfter)
 			noGrant.Denied++
 		case NotActing:
 			noGrant.NotActing++
 		case Unanswered:
-			noGrant.Silent++
+			noGrant.Unanswered++
 		}
 	}
 	return noGrant
@@ -192,7 +192,7 @@
 
 // take spends a grant of a share and requests one if this process holds none. Requests that
 // arrive while a grant request is in flight share the next one.
-func (l *Limiter) take(ctx context.Context, limit Limit, s Share, ttl time.Duration) Reply {
+func (l *Limiter) take(ctx context.Context, limit Limit, s Share, ttl time.Duration) GrantReply {
 	now := l.cfg.Clock()
 	l.mu.Lock()
 	l.sweep(now)
@@ -206,13 +206,13 @@
 	owner := l.cfg.Owner(s.Shard)
 	if owner == "" {
 		l.mu.Unlock()
-		return Reply{Outcome: NotActing}
+		return GrantReply{Outcome: NotActing}
 	}
 	if at, ok := l.unansweredAt[owner]; ok && now-at < unansweredBackOff {
 		l.mu.Unlock()
-		return Reply{Outcome: Unanswered}
+		return GrantReply{Outcome: Unanswered}
 	}
-	w := &waiter{reply: make(chan Reply, 1)}
+	w := &waiter{reply: make(chan GrantReply, 1)}
 	ls.waiters = append(ls.waiters, w)
 	if !ls.requesting {
 		ls.requesting = true
@@ -223,7 +223,7 @@
 }
 
 // awaitReply waits for a reply for up to hedgeDelay.
-func (l *Limiter) awaitReply(ctx context.Context, w *waiter) Reply {
+func (l *Limiter) awaitReply(ctx context.Context, w *waiter) GrantReply {
 	timer := time.NewTimer(hedgeDelay)
 	defer timer.Stop()
 	select {
@@ -239,7 +239,7 @@
 		return r
 	default:
 		w.abandoned = true
-		return Reply{Outcome: Unanswered}
+		return GrantReply{Outcome: Unanswered}
 	}
 }
 
@@ -268,7 +268,7 @@
 
 // tryLocal returns a reply from the local state. It returns false if the granter has to be
 // asked. The caller holds Limiter.mu.
-func (ls *localShare) tryLocal(now time.Duration) (Reply, bool) {
+func (ls *localShare) tryLocal(now time.Duration) (GrantReply, bool) {
 	if now >= ls.expiresAt {
 		ls.unused += ls.grants
 		ls.grants = 0
@@ -276,11 +276,11 @@
 	switch {
 	case ls.grants > 0:
 		ls.grants--
-		return Reply{Outcome: Granted, Granted: 1}, true
+		return GrantReply{Outcome: Granted, Granted: 1}, true
 	case now < ls.deniedUntil:
-		return Reply{Outcome: Denied, Again: ls.deniedUntil - now}, true
+		return GrantReply{Outcome: Denied, RetryAfter: ls.deniedUntil - now}, true
 	}
-	return Reply{}, false
+	return GrantReply{}, false
 }
 
 // requestGrants sends grant requests for a share until no request waits for it. It looks up
@@ -298,7 +298,7 @@
 			return
 		}
 		prefetch := min(int(ls.demand*ttl.Seconds()), maxPrefetch)
-		req := Ask{Limit: limit, Share: s.Index, Want: len(waiters) + prefetch, Unused: ls.unused}
+		req := GrantRequest{Limit: limit, Share: s.Index, Want: len(waiters) + prefetch, Unused: ls.unused}
 		ls.unused = 0
 		l.mu.Unlock()
 		r := l.sendRequest(owner, req, requestedAt)
@@ -313,28 +313,28 @@
 
 // sendRequest sends a grant request to the owner of a share. A reply that arrives too late
 // counts as Unanswered, because its grants may have been issued long before.
-func (l *Limiter) sendRequest(owner string, req Ask, requestedAt time.Duration) Reply {
+func (l *Limiter) sendRequest(owner string, req GrantRequest, requestedAt time.Duration) GrantReply {
 	if owner == l.cfg.Self {
 		return l.cfg.Granter.Grant(req)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), grantTimeout)
 	defer cancel()
-	r := l.cfg.Asker.Ask(ctx, owner, req)
+	r := l.cfg.GrantClient.RequestGrants(ctx, owner, req)
 	if l.cfg.Clock()-requestedAt > 2*grantTimeout {
-		return Reply{Outcome: Unanswered}
+		return GrantReply{Outcome: Unanswered}
 	}
 	return r
 }
 
 // applyReply stores the rest of a reply from which the waiting requests took spent grants.
 // The caller holds Limiter.mu.
-func (ls *localShare) applyReply(r Reply, spent int, requestedAt, ttl time.Duration) {
+func (ls *localShare) applyReply(r GrantReply, spent int, requestedAt, ttl time.Duration) {
 	switch r.Outcome {
 	case Granted:
 		ls.unused += ls.grants // from an earlier reply, which expire sooner
 		ls.grants, ls.expiresAt = max(r.Granted-spent, 0), requestedAt+ttl
 	case Denied:
-		ls.deniedUntil = requestedAt + r.Again
+		ls.deniedUntil = requestedAt + r.RetryAfter
 	case NotActing, Unanswered:
 	}
 }
@@ -342,7 +342,7 @@
 // replyToWaiters replies to the requests that still wait and returns the number of grants
 // that they took. If there are fewer grants than requests, the rest are denied. The caller
 // holds Limiter.mu.
-func replyToWaiters(waiters []*waiter, r Reply) (spent int) {
+func replyToWaiters(waiters []*waiter, r GrantReply) (spent int) {
 	for _, w := range waiters {
 		if w.abandoned {
 			continue
@@ -353,7 +353,7 @@
 		case spent < r.Granted:
 			spent++
 		default:
-			one = Reply{Outcome: Denied, Again: minRetryAfter}
+			one = GrantReply{Outcome: Denied, RetryAfter: minRetryAfter}
 		}
 		w.reply <- one
 	}
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -17,15 +17,15 @@
 }
 
 // Only the owner grants, one grant per request.
-func (m *movingOwner) Ask(_ context.Context, addr string, _ Ask) Reply {
+func (m *movingOwner) RequestGrants(_ context.Context, addr string, _ GrantRequest) GrantReply {
 	time.Sleep(10 * time.Millisecond)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if addr != m.owner {
 		m.misdirected++
-		return Reply{Outcome: NotActing}
+		return GrantReply{Outcome: NotActing}
 	}
-	return Reply{Outcome: Granted, Granted: 1}
+	return GrantReply{Outcome: Granted, Granted: 1}
 }
 
 func (m *movingOwner) ownerOf(int) string {
@@ -48,7 +48,7 @@
 		start := time.Now()
 		l := NewLimiter(LimiterConfig{
 			Self: "h", Tolerance: Tolerance{Window: 5 * time.Second, Excess: 0.1, Slack: 20}, Shards: 4,
-			Owner: m.ownerOf, Asker: m, Clock: func() time.Duration { return time.Since(start) },
+			Owner: m.ownerOf, GrantClient: m, Clock: func() time.Duration { return time.Since(start) },
 		})
 		limit := Limit{Workspace: "w", Rate: 3, Burst: 3}
 		var all sync.WaitGroup
--- a/ratelimit/strategies_test.go
+++ b/ratelimit/strategies_test.go
@@ -52,7 +52,7 @@
 		}
 		n := float64(len(c.hosts))
 		if !buckets[k].take(c.clock(), l.Rate/n, max(l.Burst/n, 1)) {
-			return &ratelimit.OverError{Workspace: l.Workspace}
+			return &ratelimit.OverLimitError{Workspace: l.Workspace}
 		}
 		return nil
 	}
@@ -107,7 +107,7 @@
 			recent(reported[l.Workspace])
 		}
 		if float64(n) >= l.Rate*tolerance.Window.Seconds()+l.Burst {
-			return &ratelimit.OverError{Workspace: l.Workspace}
+			return &ratelimit.OverLimitError{Workspace: l.Workspace}
 		}
 		own[h.name][l.Workspace] = append(own[h.name][l.Workspace], now)
 		return nil
@@ -125,7 +125,7 @@
 		c.mu.Unlock()
 		if c.processAt(h, owner.name) == nil {
 			time.Sleep(80 * time.Millisecond)
-			return &ratelimit.UngrantedError{Workspace: l.Workspace, Silent: 1}
+			return &ratelimit.NoGrantError{Workspace: l.Workspace, Unanswered: 1}
 		}
 		time.Sleep(roundTrip)
 		mu.Lock()
@@ -134,7 +134,7 @@
 			buckets[l.Workspace] = &tokenBucket{level: l.Burst, updatedAt: c.clock()}
 		}
 		if !buckets[l.Workspace].take(c.clock(), l.Rate, l.Burst) {
-			return &ratelimit.OverError{Workspace: l.Workspace}
+			return &ratelimit.OverLimitError{Workspace: l.Workspace}
 		}
 		return nil
 	}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -119,9 +119,9 @@
 	}
 }
 
-// Note stores an agent's report. A report from a new incarnation ends an ejection,
+// UpdateReport stores an agent's report. A report from a new incarnation ends an ejection,
 // because the failures were those of the earlier process.
-func (r *Router) Note(now time.Time, name string, rep Report) {
+func (r *Router) UpdateReport(now time.Time, name string, rep Report) {
 	a := r.agents[name]
 	if a == nil {
 		return
@@ -135,32 +135,32 @@
 	a.inFlightAtReport = a.InFlight
 }
 
-// Alive extends the validity of an agent's last report. It has no effect on an agent
+// RenewReport extends the validity of an agent's last report. It has no effect on an agent
 // that has not reported since it became unreachable.
-func (r *Router) Alive(now time.Time, name string) {
+func (r *Router) RenewReport(now time.Time, name string) {
 	if a := r.agents[name]; a != nil && !a.reportedAt.IsZero() {
 		a.reportedAt = now
 	}
 }
 
-// Lost marks an agent as unreachable. The agent gets no requests until it reports
+// MarkUnreachable marks an agent as unreachable. The agent gets no requests until it reports
 // again.
-func (r *Router) Lost(name string) {
+func (r *Router) MarkUnreachable(name string) {
 	if a := r.agents[name]; a != nil {
 		a.reportedAt = time.Time{}
 	}
 }
 
-// Began counts a request that is sent to an agent.
-func (r *Router) Began(name string) {
+// RequestStarted counts a request that is sent to an agent.
+func (r *Router) RequestStarted(name string) {
 	if a := r.agents[name]; a != nil {
 		a.InFlight++
 	}
 }
 
-// Ended counts a request that ended at an agent. fault says whether the agent failed
+// RequestEnded counts a request that ended at an agent. fault says whether the agent failed
 // it. EjectAfter consecutive failures eject the agent, within MaxEjectedFraction.
-func (r *Router) Ended(now time.Time, name string, fault bool) {
+func (r *Router) RequestEnded(now time.Time, name string, fault bool) {
 	a := r.agents[name]
 	if a == nil {
 		return
@@ -357,8 +357,8 @@
 	return h
 }
 
-// Views returns copies of all agents, sorted by name, for display to operators.
-func (r *Router) Views() []Agent {
+// Agents returns copies of all agents, sorted by name, for display to operators.
+func (r *Router) Agents() []Agent {
 	var out []Agent
 	for _, a := range r.agents {
 		out = append(out, *a)
--- a/runner/member.go
+++ b/runner/member.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Holds reports whether a partition is assigned to this process.
-func (r *Runner) Holds(part int) bool {
+// HasPartition reports whether a partition is assigned to this process.
+func (r *Runner) HasPartition(part int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, ok := r.assigned[part]
@@ -102,7 +102,7 @@
 	slices.Sort(gained)
 	r.cfg.Log.Info("partitions assigned", logging.F("generation", m.Generation), logging.F("count", len(assigned)),
 		logging.F("gained", gained), logging.F("lost", lost))
-	r.cfg.Metrics.Gauge("partitions", float64(len(assigned)))
+	r.cfg.Metrics.SetGauge("partitions", float64(len(assigned)))
 	for _, p := range gained {
 		go r.takeOver(ctx, p)
 	}
@@ -114,7 +114,7 @@
 	// Load the jobs before the progress: progress of items that are not open is discarded.
 	began, warned := time.Now(), time.Now()
 	for err := r.cfg.Store.Refresh(ctx, part, maxStateAge); err != nil; err = r.cfg.Store.Refresh(ctx, part, maxStateAge) {
-		if wait.For(ctx, takeOverRetryInterval) != nil || !r.Holds(part) {
+		if wait.For(ctx, takeOverRetryInterval) != nil || !r.HasPartition(part) {
 			return
 		}
 		if time.Since(warned) >= takeOverWarnInterval {
@@ -135,8 +135,8 @@
 	r.mu.Lock()
 	for _, p := range all {
 		st := r.itemLocked(p.Key, part)
-		if !st.running && p.Last > st.lastEvent {
-			st.lastEvent, st.text, st.savedEvent = p.Last, p.Text, p.Last
+		if !st.running && p.LastEvent > st.lastEvent {
+			st.lastEvent, st.text, st.savedEvent = p.LastEvent, p.Text, p.LastEvent
 		}
 	}
 	if _, ok := r.assigned[part]; ok {
@@ -218,7 +218,7 @@
 	r.mu.Lock()
 	for _, st := range r.items {
 		if st.part == part && !st.done && st.lastEvent > st.savedEvent {
-			all = append(all, jobstore.Progress{Key: st.key, Last: st.lastEvent, Text: slices.Clone(st.text)})
+			all = append(all, jobstore.Progress{Key: st.key, LastEvent: st.lastEvent, Text: slices.Clone(st.text)})
 		}
 	}
 	r.mu.Unlock()
@@ -234,7 +234,7 @@
 	defer r.mu.Unlock()
 	for _, p := range all {
 		if st := r.items[p.Key]; st != nil {
-			st.savedEvent = max(st.savedEvent, p.Last)
+			st.savedEvent = max(st.savedEvent, p.LastEvent)
 		}
 	}
 }
--- a/runner/run.go
+++ b/runner/run.go
@@ -57,13 +57,13 @@
 // only at other targets, and only at those that are not in doubt, so that the failures
 // counted against it are its own. If there is no such target, the item waits until one is
 // no longer in doubt.
-func excludeFailed(all []balance.Room, avoid []string) []balance.Room {
+func excludeFailed(all []balance.BatchTarget, avoid []string) []balance.BatchTarget {
 	if len(avoid) == 0 {
 		return all
 	}
-	var out []balance.Room
+	var out []balance.BatchTarget
 	for _, c := range all {
-		if !c.Doubtful && !slices.Contains(avoid, c.Instance.ID) {
+		if !c.Suspect && !slices.Contains(avoid, c.Instance.ID) {
 			out = append(out, c)
 		}
 	}
@@ -71,11 +71,11 @@
 }
 
 // seatCandidates returns the targets of a service that may have a free seat, best first.
-func seatCandidates(t *balance.Table, now time.Time, service string, due time.Time) []balance.Room {
-	if seats.Presses(now, due) {
-		return t.RoomsPressing(now, service)
+func seatCandidates(t *balance.Table, now time.Time, service string, due time.Time) []balance.BatchTarget {
+	if seats.Urgent(now, due) {
+		return t.UrgentBatchTargets(now, service)
 	}
-	return t.Rooms(now, service)
+	return t.BatchTargets(now, service)
 }
 
 // seatTimeout bounds the search for one item's seat. Other items wait behind it, and a
@@ -97,9 +97,9 @@
 		asked[in.ID] = true
 		seat, err := r.cfg.Seats.Acquire(ctx, in, due)
 		granted, fit := seat != nil && err == nil, false
-		r.cfg.View.Table(func(t *balance.Table) {
-			t.Seated(in.ID, granted)
-			fit = t.Fit(time.Now(), service, in.ID)
+		r.cfg.View.WithTable(func(t *balance.Table) {
+			t.RecordSeatReply(in.ID, granted)
+			fit = t.Eligible(time.Now(), service, in.ID)
 		})
 		if granted && fit {
 			return seat, in
@@ -115,11 +115,11 @@
 // nextTarget returns the best target for an item whose agent has not been asked yet. It
 // reports false if there is none.
 func (r *Runner) nextTarget(service string, avoid []string, due time.Time, asked map[string]bool) (targets.Instance, bool) {
-	var ranked []balance.Room
+	var ranked []balance.BatchTarget
 	only := false
-	r.cfg.View.Table(func(t *balance.Table) {
+	r.cfg.View.WithTable(func(t *balance.Table) {
 		ranked = seatCandidates(t, time.Now(), service, due)
-		only = t.Serving(service) <= len(avoid)
+		only = t.CountInService(service) <= len(avoid)
 	})
 	if !only {
 		ranked = excludeFailed(ranked, avoid)
@@ -145,12 +145,12 @@
 		case <-ctx.Done():
 		}
 	}()
-	r.cfg.View.Table(func(t *balance.Table) { t.BatchBegan(began, in.ID) })
+	r.cfg.View.WithTable(func(t *balance.Table) { t.BatchStarted(began, in.ID) })
 	outcome, err := r.attempt(ctx, c, st, in)
 	if err != nil && connectionLost(ctx, err) {
 		r.reportLostConnection(ctx, c, st, in, from, began)
 	}
-	r.cfg.View.Table(func(t *balance.Table) { t.BatchEnded(time.Now(), in.ID, err == nil) })
+	r.cfg.View.WithTable(func(t *balance.Table) { t.BatchEnded(time.Now(), in.ID, err == nil) })
 	why := "complete"
 	if err != nil {
 		why = reason(ctx, err)
@@ -194,7 +194,7 @@
 	r.mu.Lock()
 	events := st.lastEvent - from
 	r.mu.Unlock()
-	r.cfg.Quarantine.Broke(ctx, quarantine.Run{
+	r.cfg.Quarantine.RecordBroken(ctx, quarantine.Run{
 		Key: st.contentKey, Request: c.open.Item.GetId(), Target: in, Events: events, Took: time.Since(began),
 	})
 }
@@ -213,16 +213,16 @@
 	}
 	if o != nil {
 		st.backoff = 0
-		r.pace.Whole(st.lastEvent)
+		r.pace.ObserveItem(st.lastEvent)
 	}
-	r.pace.Ran(st.lastEvent-from, time.Since(began))
+	r.pace.ObserveRun(st.lastEvent-from, time.Since(began))
 	last, failed, ended := st.lastEvent, st.failures, st.ended
 	r.mu.Unlock()
 	switch {
 	case o != nil:
 		r.cfg.Metrics.Count("item_complete")
-		r.recordHealth(in, balance.Sound)
-		r.cfg.Quarantine.Served(st.contentKey)
+		r.recordHealth(in, balance.Succeeded)
+		r.cfg.Quarantine.RecordSuccess(st.contentKey)
 		r.finish(st, c, *o)
 	case stoppedLocally(ctx):
 		r.cfg.Metrics.Count("item_stopped")
@@ -235,8 +235,8 @@
 }
 
 // recordHealth records a verdict on the health of a target.
-func (r *Runner) recordHealth(in targets.Instance, v balance.Verdict) {
-	r.cfg.View.Table(func(t *balance.Table) { t.Judge(time.Now(), in.ID, v) })
+func (r *Runner) recordHealth(in targets.Instance, v balance.Outcome) {
+	r.cfg.View.WithTable(func(t *balance.Table) { t.RecordOutcome(time.Now(), in.ID, v) })
 }
 
 // errNoOutcome marks errors of an attempt that ended before the item was complete.
@@ -248,7 +248,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	watchdog := time.AfterFunc(firstEventTimeout, func() {
-		r.recordHealth(in, balance.Unfit)
+		r.recordHealth(in, balance.Unreachable)
 		cancel()
 	})
 	defer watchdog.Stop()
@@ -258,7 +258,7 @@
 	r.mu.Unlock()
 	ans, err := r.cfg.Sender.Send(ctx, in, &exchange.Call{
 		ID: item.GetId(), Method: http.MethodPost, Host: c.open.Spec.GetHost(), URI: item.GetPath(),
-		Header: r.cfg.Headers(item.GetHeaders()), Body: item.GetBody(), After: after, Workspace: c.open.Spec.GetWorkspace(),
+		Header: r.cfg.Headers(item.GetHeaders()), Body: item.GetBody(), ResumeAfter: after, Workspace: c.open.Spec.GetWorkspace(),
 	})
 	if err != nil {
 		r.recordSendError(ctx, in, err)
@@ -279,10 +279,10 @@
 		return
 	}
 	if se.Fault == exchange.FaultConnect {
-		r.recordHealth(in, balance.Unfit)
+		r.recordHealth(in, balance.Unreachable)
 		return
 	}
-	r.recordHealth(in, balance.Doubted)
+	r.recordHealth(in, balance.Failed)
 }
 
 // statusError reports that a target answered with something other than a result stream.
@@ -297,10 +297,10 @@
 
 // checkAnswer returns nil if an answer is a result stream. For any other answer it records
 // the failure and returns a statusError.
-func (r *Runner) checkAnswer(c candidate, st *itemState, in targets.Instance, ans *exchange.Answer) error {
+func (r *Runner) checkAnswer(c candidate, st *itemState, in targets.Instance, ans *exchange.Response) error {
 	if ans.Outcome == exchange.Done && ans.Status < http.StatusMultipleChoices {
-		if !ans.Events {
-			r.recordHealth(in, balance.Doubted)
+		if !ans.EventStream {
+			r.recordHealth(in, balance.Failed)
 			return &statusError{ans.Status}
 		}
 		return nil
@@ -308,7 +308,7 @@
 	failed := ans.Outcome == exchange.Failed && ans.Status == http.StatusInternalServerError
 	impossible := ans.Outcome == exchange.Done && ans.Status == statusImpossible
 	if ans.Outcome == exchange.OtherInstance {
-		r.cfg.View.Supersede(in.ID)
+		r.cfg.View.MarkSuperseded(in.ID)
 	}
 	if failed || impossible {
 		r.mu.Lock()
@@ -322,7 +322,7 @@
 		r.mu.Unlock()
 		if failed && firstFailure {
 			// If the item failed before, the item may be at fault, not the target.
-			r.recordHealth(in, balance.Doubted)
+			r.recordHealth(in, balance.Failed)
 		}
 		go r.saveFailures(c, count, isImpossible)
 	}
@@ -334,7 +334,7 @@
 func (r *Runner) saveFailures(c candidate, failed int, impossible bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	if err := r.cfg.Store.Fail(ctx, c.open.Job, c.open.Index, failed, impossible); err != nil {
+	if err := r.cfg.Store.RecordFailures(ctx, c.open.Job, c.open.Index, failed, impossible); err != nil {
 		r.cfg.Log.Warn("failed attempt not saved", logging.F("job", c.open.Job),
 			logging.F("item", c.open.Item.GetId()), logging.F("error", err.Error()))
 	}
@@ -342,7 +342,7 @@
 
 // readStream reads the events that follow the event after, up to the end of the stream. A
 // stream that ends without an event completes the item only if earlier events are known.
-func (r *Runner) readStream(c candidate, st *itemState, ans *exchange.Answer, after uint64, watchdog *time.Timer) (*jobs.Outcome, error) {
+func (r *Runner) readStream(c candidate, st *itemState, ans *exchange.Response, after uint64, watchdog *time.Timer) (*jobs.Outcome, error) {
 	rd := events.NewReader(ans.Body, after)
 	for n := 0; ; n++ {
 		ev, err := rd.Next()
@@ -363,7 +363,7 @@
 
 // add appends a complete event.
 func (p *progress) add(ev events.Event) {
-	if !ev.Any {
+	if !ev.HasData {
 		return
 	}
 	if p.lastEvent > 0 {
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -46,7 +46,7 @@
 	Sender exchange.Sender
 	Seats  Seats
 	// Quarantine is told of runs whose connection broke.
-	Quarantine *quarantine.Keeper
+	Quarantine *quarantine.Tracker
 	Log        logging.Logger
 	Metrics    *metrics.Set
 	// Headers returns the header to send with an item, given its own headers.
@@ -101,7 +101,7 @@
 	assigned      map[int]bool // assigned partitions; true once their progress has been loaded
 	items         map[jobstore.ItemKey]*itemState
 	running       int
-	pace          *schedule.Pace
+	pace          *schedule.Estimator
 	refreshFailed map[int]time.Time      // time of the last failed refresh, by partition
 	finished      map[int][]jobs.Outcome // outcomes to be listed, by home partition
 	unlistedBytes int                    // size of the results that are not listed yet
@@ -142,7 +142,7 @@
 func New(cfg Config) *Runner {
 	return &Runner{
 		cfg: cfg, assigned: make(map[int]bool), items: make(map[jobstore.ItemKey]*itemState),
-		finished: make(map[int][]jobs.Outcome), pace: schedule.NewPace(),
+		finished: make(map[int][]jobs.Outcome), pace: schedule.NewEstimator(),
 		refreshFailed: make(map[int]time.Time),
 		wake:          make(chan struct{}, 1), wakeLister: make(chan struct{}, 1),
 	}
@@ -227,7 +227,7 @@
 	parts := r.partitions()
 	open := make(map[jobstore.ItemKey]bool)
 	for _, part := range parts {
-		for _, it := range r.cfg.Store.Open(part) {
+		for _, it := range r.cfg.Store.OpenItems(part) {
 			open[it.Key()] = true
 			if r.ready(now, part, it) {
 				out = append(out, candidate{open: it, part: part})
@@ -246,9 +246,9 @@
 		c := &cs[i]
 		st := r.items[c.open.Key()]
 		c.Item = schedule.Item{
-			Due:   time.UnixMilli(c.open.Spec.GetDueUnixMs()),
-			Left:  r.pace.Left(st.lastEvent),
-			Begun: st.lastEvent > 0,
+			Due:       time.UnixMilli(c.open.Spec.GetDueUnixMs()),
+			Remaining: r.pace.Remaining(st.lastEvent),
+			Started:   st.lastEvent > 0,
 		}
 	}
 	slices.SortStableFunc(cs, func(a, b candidate) int {
@@ -269,7 +269,7 @@
 	if st.contentKey == (quarantine.Key{}) {
 		st.contentKey = contentKeyOf(it)
 	}
-	st.failures = max(st.failures, it.Failed)
+	st.failures = max(st.failures, it.FailedAttempts)
 	st.impossible = st.impossible || it.Impossible
 	return !st.running && !st.done && !now.Before(st.notBefore)
 }
@@ -331,7 +331,7 @@
 	if !r.jobStateUsable(ctx, c) {
 		return
 	}
-	seat, in := r.acquireSeat(ctx, service, r.targetsToAvoid(st), c.YieldRank(time.Now()))
+	seat, in := r.acquireSeat(ctx, service, r.targetsToAvoid(st), c.YieldDue(time.Now()))
 	if seat == nil {
 		// An item that failed before avoids some targets; others may still find a seat.
 		full[service] = full[service] || len(r.targetsToAvoid(st)) == 0
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -63,10 +63,10 @@
 	status  func(id string, n int) int
 }
 
-func (e *engine) Send(ctx context.Context, in targets.Instance, call *exchange.Call) (*exchange.Answer, error) {
+func (e *engine) Send(ctx context.Context, in targets.Instance, call *exchange.Call) (*exchange.Response, error) {
 	e.mu.Lock()
 	n := len(e.starts[call.ID])
-	e.starts[call.ID] = append(e.starts[call.ID], call.After)
+	e.starts[call.ID] = append(e.starts[call.ID], call.ResumeAfter)
 	e.targets[call.ID] = append(e.targets[call.ID], in.ID)
 	status := http.StatusOK
 	if e.status != nil {
@@ -78,11 +78,11 @@
 		if status >= http.StatusInternalServerError {
 			outcome = exchange.Failed
 		}
-		return &exchange.Answer{Outcome: outcome, Status: status, Body: io.NopCloser(strings.NewReader(""))}, nil
+		return &exchange.Response{Outcome: outcome, Status: status, Body: io.NopCloser(strings.NewReader(""))}, nil
 	}
 	rd, wr := io.Pipe()
 	go func() {
-		for i := call.After + 1; i <= events; i++ {
+		for i := call.ResumeAfter + 1; i <= events; i++ {
 			select {
 			case <-ctx.Done():
 				_ = wr.CloseWithError(ctx.Err())
@@ -95,7 +95,7 @@
 		}
 		_ = wr.Close()
 	}()
-	return &exchange.Answer{Status: status, Body: rd, Events: true, Length: -1}, nil
+	return &exchange.Response{Status: status, Body: rd, EventStream: true, ContentLength: -1}, nil
 }
 
 func (e *engine) runs(id string) []uint64 {
@@ -135,7 +135,7 @@
 	}
 	ch := make(chan struct{})
 	p.granted = append(p.granted, ch)
-	return seats.Granted(ch), nil
+	return seats.NewLocalSeat(ch), nil
 }
 
 // setRefusing sets whether requests are refused, and asks back all granted seats.
@@ -155,7 +155,7 @@
 	jobs       *jobstore.Store
 	runner     *runner.Runner
 	seats      *hookedSeats
-	quarantine *quarantine.Keeper
+	quarantine *quarantine.Tracker
 	stop       context.CancelFunc
 }
 
@@ -171,9 +171,9 @@
 	view.CatalogSink().Reset([]store.Record{{Key: "c", Value: []byte("1")}})
 	view.TargetSink().Reset([]store.Record{{Key: "i0", Value: []byte("1")}})
 	go reportLoads(ctx, view)
-	client := s.For(name)
+	client := s.ClientFor(name)
 	n := &node{view: view, stop: cancel, seats: &hookedSeats{beforeGrant: func(targets.Instance) {}}}
-	n.quarantine = quarantine.NewKeeper(quarantine.Config{Prober: crashedProber{}, Metrics: ms})
+	n.quarantine = quarantine.NewTracker(quarantine.Config{Prober: crashedProber{}, Metrics: ms})
 	n.jobs = openJobs(ctx, client)
 	n.runner = runner.New(runner.Config{
 		Member: name, Group: "g", Store: n.jobs, Groups: client, View: view, Sender: e, Seats: n.seats,
@@ -185,14 +185,14 @@
 }
 
 func openJobs(ctx context.Context, log store.Log) *jobstore.Store {
-	return jobstore.New(ctx, log, jobstore.Settings{Topic: "jobs", ProgressTopic: "progress", Partitions: parts, CallBytes: 2 << 20, Keep: time.Minute}, logging.Logger{})
+	return jobstore.New(ctx, log, jobstore.Settings{Topic: "jobs", ProgressTopic: "progress", Partitions: parts, MaxAppendBytes: 2 << 20, Retention: time.Minute}, logging.Logger{})
 }
 
 // reportLoads stands in for the load reports of the agents.
 func reportLoads(ctx context.Context, view *fleet.View) {
 	for ctx.Err() == nil {
 		for _, in := range view.Instances() {
-			view.Table(func(t *balance.Table) { t.Note(time.Now(), in.ID, balance.Report{Slots: 8, Room: 8}) })
+			view.WithTable(func(t *balance.Table) { t.UpdateLoad(time.Now(), in.ID, balance.Report{Slots: 8, FreeSeats: 8}) })
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -351,7 +351,7 @@
 				t.Fatalf("item %d ran %d times during the outage, want 1", i, len(runs))
 			}
 		}
-		s.SetFault("a", sharedstore.None)
+		s.SetFault("a", sharedstore.NoFault)
 		time.Sleep(5 * time.Second)
 		checkFinished(ctx, t, a, "job", 3)
 	})
@@ -390,10 +390,10 @@
 		a.seats.setRefusing(true)
 		acceptJob(ctx, t, a, "job", 3)
 		time.Sleep(time.Second)
-		s.SetFault("a", sharedstore.Silent)
+		s.SetFault("a", sharedstore.NoResponse)
 		synctest.Wait()
-		s.SetFault("a", sharedstore.None) // new connections work
-		other := jobstore.New(ctx, s.For("b"), jobstore.Settings{Topic: "jobs", Partitions: parts, CallBytes: 2 << 20, Keep: time.Minute}, logging.Logger{})
+		s.SetFault("a", sharedstore.NoFault) // new connections work
+		other := jobstore.New(ctx, s.ClientFor("b"), jobstore.Settings{Topic: "jobs", Partitions: parts, MaxAppendBytes: 2 << 20, Retention: time.Minute}, logging.Logger{})
 		if err := other.End(ctx, "job"); err != nil {
 			t.Fatal(err)
 		}
@@ -490,9 +490,9 @@
 // cuttingEngine is an engine whose streams break in the middle of an event.
 type cuttingEngine struct{ *engine }
 
-func (c *cuttingEngine) Send(ctx context.Context, to targets.Instance, call *exchange.Call) (*exchange.Answer, error) {
+func (c *cuttingEngine) Send(ctx context.Context, to targets.Instance, call *exchange.Call) (*exchange.Response, error) {
 	ans, err := c.engine.Send(ctx, to, call)
-	if err == nil && call.After+5 < events {
+	if err == nil && call.ResumeAfter+5 < events {
 		ans.Body = cutBody{io.MultiReader(io.LimitReader(ans.Body, 150), failingReader{}), ans.Body}
 	}
 	return ans, err
@@ -513,9 +513,9 @@
 	instance string
 }
 
-func (f *failingTarget) Send(ctx context.Context, to targets.Instance, call *exchange.Call) (*exchange.Answer, error) {
+func (f *failingTarget) Send(ctx context.Context, to targets.Instance, call *exchange.Call) (*exchange.Response, error) {
 	if to.ID == f.instance {
-		return &exchange.Answer{Outcome: exchange.Failed, Status: http.StatusInternalServerError, Body: http.NoBody}, nil
+		return &exchange.Response{Outcome: exchange.Failed, Status: http.StatusInternalServerError, Body: http.NoBody}, nil
 	}
 	return f.engine.Send(ctx, to, call)
 }
@@ -560,7 +560,7 @@
 		const items = 20
 		a.seats.setRefusing(true) // no item starts yet
 		acceptJob(ctx, t, a, silent, items)
-		s.SetPartitionFault(store.Partition{Topic: "jobs", Number: a.jobs.PartitionOf(silent)}, sharedstore.Silent)
+		s.SetPartitionFault(store.Partition{Topic: "jobs", Number: a.jobs.PartitionOf(silent)}, sharedstore.NoResponse)
 		time.Sleep(2 * time.Second)
 		a.seats.setRefusing(false)
 		acceptJob(ctx, t, a, other, items)
@@ -584,11 +584,11 @@
 			t.Fatal(err)
 		}
 		other := store.Partition{Topic: "jobs", Number: (a.jobs.PartitionOf("job") + 1) % parts}
-		if _, err := s.For("b").Append(ctx, other, recs, store.AnyEnd); err != nil {
+		if _, err := s.ClientFor("b").Append(ctx, other, recs, store.AnyEnd); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(150 * time.Millisecond)
-		if err := openJobs(ctx, s.For("b")).Accept(ctx, job); err != nil {
+		if err := openJobs(ctx, s.ClientFor("b")).Accept(ctx, job); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(8 * time.Second)
--- a/runner/upkeep.go
+++ b/runner/upkeep.go
@@ -36,7 +36,7 @@
 	for wait.For(ctx, sweepInterval) == nil {
 		for _, p := range r.partitions() {
 			callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
-			if err := r.cfg.Store.Sweep(callCtx, p, time.Now()); err != nil {
+			if err := r.cfg.Store.DeleteExpired(callCtx, p, time.Now()); err != nil {
 				r.cfg.Log.Warn("expired jobs not dropped; will retry", logging.F("partition", p), logging.F("error", err.Error()))
 			}
 			cancel()
@@ -107,7 +107,7 @@
 func (r *Runner) listPartition(ctx context.Context, part int, outs []jobs.Outcome) {
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
-		err := r.cfg.Store.List(callCtx, part, outs)
+		err := r.cfg.Store.RecordOutcomes(callCtx, part, outs)
 		cancel()
 		if err == nil {
 			for _, o := range outs {
@@ -133,7 +133,7 @@
 		r.unlistedBytes -= len(o.Text)
 		k := jobstore.ItemKey{Job: o.Job, Item: o.Item}
 		if st := r.items[k]; st != nil && st.savedEvent > 0 {
-			drop[st.part] = append(drop[st.part], jobstore.Progress{Key: k, Done: true})
+			drop[st.part] = append(drop[st.part], jobstore.Progress{Key: k, Listed: true})
 		}
 	}
 	r.mu.Unlock()
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -13,9 +13,9 @@
 
 // Item is the state of an open item that its order depends on.
 type Item struct {
-	Due   time.Time
-	Left  time.Duration // estimated time that it still has to run
-	Begun bool
+	Due       time.Time
+	Remaining time.Duration // estimated time that it still has to run
+	Started   bool
 }
 
 // notStartedMargin is the extra time that an item needs if it has not started. Running
@@ -28,16 +28,16 @@
 
 // Feasible reports whether an item can still finish in time.
 func (i Item) Feasible(now time.Time) bool {
-	need := i.Left
-	if !i.Begun {
+	need := i.Remaining
+	if !i.Started {
 		need += notStartedMargin
 	}
 	return !now.Add(need).After(i.Due)
 }
 
-// YieldRank returns the due time that an agent uses to decide whose seat it asks back. The
+// YieldDue returns the due time that an agent uses to decide whose seat it asks back. The
 // item with the latest one yields first.
-func (i Item) YieldRank(now time.Time) time.Time {
+func (i Item) YieldDue(now time.Time) time.Time {
 	if i.Feasible(now) {
 		return i.Due
 	}
@@ -55,14 +55,14 @@
 	}
 	if !fa {
 		// Neither can finish in time: the one with the least time left frees its seat first.
-		return cmp.Compare(a.Left, b.Left)
+		return cmp.Compare(a.Remaining, b.Remaining)
 	}
 	return a.Due.Compare(b.Due)
 }
 
-// Pace estimates how long items run, with moving averages. It is not safe for concurrent
+// Estimator estimates how long items run, with moving averages. It is not safe for concurrent
 // use.
-type Pace struct {
+type Estimator struct {
 	eventsPerItem float64
 	timePerEvent  time.Duration
 }
@@ -78,26 +78,26 @@
 	minRunTime = 200 * time.Millisecond
 )
 
-// NewPace returns an estimator with initial estimates.
-func NewPace() *Pace {
-	return &Pace{eventsPerItem: initialEventsPerItem, timePerEvent: initialTimePerEvent}
+// NewEstimator returns an estimator with initial estimates.
+func NewEstimator() *Estimator {
+	return &Estimator{eventsPerItem: initialEventsPerItem, timePerEvent: initialTimePerEvent}
 }
 
-// Whole adds the number of events of a finished item.
-func (p *Pace) Whole(events uint64) {
+// ObserveItem adds the number of events of a finished item.
+func (p *Estimator) ObserveItem(events uint64) {
 	p.eventsPerItem += smoothing * (float64(events) - p.eventsPerItem)
 }
 
-// Ran adds the time that a run took for some events. It ignores short runs.
-func (p *Pace) Ran(events uint64, took time.Duration) {
+// ObserveRun adds the time that a run took for some events. It ignores short runs.
+func (p *Estimator) ObserveRun(events uint64, took time.Duration) {
 	if events == 0 || took < minRunTime {
 		return
 	}
 	p.timePerEvent += time.Duration(smoothing * float64(took/time.Duration(events)-p.timePerEvent))
 }
 
-// Left estimates how long an item still has to run when the given number of events is done.
-func (p *Pace) Left(done uint64) time.Duration {
+// Remaining estimates how long an item still has to run when the given number of events is done.
+func (p *Estimator) Remaining(done uint64) time.Duration {
 	left := max(p.eventsPerItem-float64(done), 1)
 	return time.Duration(left * float64(p.timePerEvent))
 }
--- a/schedule/schedule_test.go
+++ b/schedule/schedule_test.go
@@ -68,7 +68,7 @@
 	const seats = 58 // 42 on average, 59 needed
 	earliestDue := replay(load(), seats, func(_ time.Time, a, b item) int { return a.due.Compare(b.due) })
 	ordered := replay(load(), seats, func(now time.Time, a, b item) int {
-		return schedule.Compare(now, schedule.Item{Due: a.due, Left: a.remaining, Begun: a.started}, schedule.Item{Due: b.due, Left: b.remaining, Begun: b.started})
+		return schedule.Compare(now, schedule.Item{Due: a.due, Remaining: a.remaining, Started: a.started}, schedule.Item{Due: b.due, Remaining: b.remaining, Started: b.started})
 	})
 	t.Logf("of %d items in time: earliest due first %d, this package %d", items, earliestDue, ordered)
 	if ordered < 600 || ordered < 2*earliestDue {
@@ -84,7 +84,7 @@
 		items = append(items, item{arrived: arrived, due: arrived.Add(18 * time.Second), remaining: 5 * time.Second})
 	}
 	got := replay(items, 45, func(now time.Time, a, b item) int {
-		return schedule.Compare(now, schedule.Item{Due: a.due, Left: a.remaining, Begun: a.started}, schedule.Item{Due: b.due, Left: b.remaining, Begun: b.started})
+		return schedule.Compare(now, schedule.Item{Due: a.due, Remaining: a.remaining, Started: a.started}, schedule.Item{Due: b.due, Remaining: b.remaining, Started: b.started})
 	})
 	if got != 200 {
 		t.Fatalf("%d of 200 items finished in time", got)
@@ -93,9 +93,9 @@
 
 // Late items yield their seats before those that can still finish in time.
 func TestLateItemsYieldFirst(t *testing.T) {
-	late := schedule.Item{Due: start.Add(time.Second), Left: 5 * time.Second}
-	inTime := schedule.Item{Due: start.Add(10 * time.Second), Left: 5 * time.Second}
-	if !late.YieldRank(start).After(inTime.YieldRank(start)) {
+	late := schedule.Item{Due: start.Add(time.Second), Remaining: 5 * time.Second}
+	inTime := schedule.Item{Due: start.Add(10 * time.Second), Remaining: 5 * time.Second}
+	if !late.YieldDue(start).After(inTime.YieldDue(start)) {
 		t.Fatal("the late item yields after the one in time")
 	}
 	if schedule.Compare(start, inTime, late) >= 0 {
@@ -105,15 +105,15 @@
 
 // The estimates follow the observed runs.
 func TestEstimatesFollowObservedRuns(t *testing.T) {
-	p := schedule.NewPace()
+	p := schedule.NewEstimator()
 	for range 100 {
-		p.Ran(50, 50*40*time.Millisecond)
-		p.Whole(300)
+		p.ObserveRun(50, 50*40*time.Millisecond)
+		p.ObserveItem(300)
 	}
-	if left := p.Left(100); left < 7*time.Second || left > 9*time.Second {
+	if left := p.Remaining(100); left < 7*time.Second || left > 9*time.Second {
 		t.Fatalf("200 events of 40 ms each: estimated %s, want 7 to 9 s", left)
 	}
-	if p.Left(1000) <= 0 {
+	if p.Remaining(1000) <= 0 {
 		t.Fatal("no time left for an item with more events than usual")
 	}
 }
--- a/seats/agent.go
+++ b/seats/agent.go
@@ -15,8 +15,8 @@
 	"pumiceford/wire"
 )
 
-// Gauge returns the load of the target on this agent's host.
-type Gauge interface {
+// LoadSource returns the load of the target on this agent's host.
+type LoadSource interface {
 	Load(ctx context.Context) (Load, error)
 }
 
@@ -44,9 +44,9 @@
 
 // AgentConfig configures an Agent.
 type AgentConfig struct {
-	Name  string // name of this agent's host
-	Gauge Gauge
-	Log   logging.Logger
+	Name       string // name of this agent's host
+	LoadSource LoadSource
+	Log        logging.Logger
 	// Metrics counts the seats granted, refused and asked back.
 	Metrics *metrics.Set
 }
@@ -73,10 +73,10 @@
 // reservingShare is the share of the agents that keep a slot free of batch work.
 const reservingShare = 0.6
 
-// Reserve returns the number of slots that the agent of a host keeps free of batch work. An
+// ReservedSlots returns the number of slots that the agent of a host keeps free of batch work. An
 // online request takes such a slot instead of cutting off an item. Online requests can go
 // to any target, so it is enough if some targets have a free slot.
-func Reserve(host string) int {
+func ReservedSlots(host string) int {
 	const parts = 1000
 	if float64(xxhash.Sum64String(host)%parts) < reservingShare*parts {
 		return 1
@@ -87,7 +87,7 @@
 // NewAgent returns an Agent.
 func NewAgent(cfg AgentConfig) *Agent {
 	return &Agent{
-		cfg: cfg, arbiter: NewArbiter(0, Reserve(cfg.Name)),
+		cfg: cfg, arbiter: NewArbiter(0, ReservedSlots(cfg.Name)),
 		yieldRequests: make(map[uint64]chan struct{}),
 		changed:       make(chan struct{}),
 		pollNow:       make(chan struct{}, 1),
@@ -102,7 +102,7 @@
 	unanswered := false
 	for ctx.Err() == nil {
 		pollCtx, cancel := context.WithTimeout(ctx, pollTimeout)
-		load, err := a.cfg.Gauge.Load(pollCtx)
+		load, err := a.cfg.LoadSource.Load(pollCtx)
 		cancel()
 		switch {
 		case err != nil && !unanswered && ctx.Err() == nil:
@@ -168,10 +168,10 @@
 		delete(a.yieldRequests, id)
 		a.cfg.Metrics.Count("seat_asked_back")
 	}
-	a.cfg.Metrics.Gauge("target_active", float64(load.Active))
-	a.cfg.Metrics.Gauge("target_queued", float64(load.Queued))
-	a.cfg.Metrics.Gauge("seats_held", float64(a.arbiter.Held()))
-	a.freeSeats = max(a.arbiter.Room(a.lastAnswer), 0)
+	a.cfg.Metrics.SetGauge("target_active", float64(load.Active))
+	a.cfg.Metrics.SetGauge("target_queued", float64(load.Queued))
+	a.cfg.Metrics.SetGauge("seats_held", float64(a.arbiter.Held()))
+	a.freeSeats = max(a.arbiter.FreeSeats(a.lastAnswer), 0)
 	if !same || (a.freeSeats > 0) != (before > 0) {
 		a.notifyLocked()
 	}
@@ -218,8 +218,8 @@
 	a.changed = make(chan struct{})
 }
 
-// Leave stops granting seats and asks all granted seats back.
-func (a *Agent) Leave() {
+// Drain stops granting seats and asks all granted seats back.
+func (a *Agent) Drain() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.draining = true
@@ -320,9 +320,9 @@
 		Queued: uint32(load.Queued),
 		Batch:  uint32(a.arbiter.Held()),
 		Slots:  uint32(max(a.arbiter.Slots(), 0)),
-		Room:   uint32(max(a.arbiter.Room(time.Now()), 0)),
+		Room:   uint32(max(a.arbiter.FreeSeats(time.Now()), 0)),
 
-		Spare:  uint32(max(a.arbiter.Spare(time.Now()), 0)),
+		Spare:  uint32(max(a.arbiter.UrgentSeats(time.Now()), 0)),
 		Silent: a.silent, Witnesses: uint32(a.failingEntriesLocked()),
 	}
 }
--- a/seats/agent_test.go
+++ b/seats/agent_test.go
@@ -51,7 +51,7 @@
 
 func connect(ctx context.Context, load seats.Load) *fixture {
 	f := &fixture{target: &fakeTarget{load: load}}
-	f.agent = seats.NewAgent(seats.AgentConfig{Name: unreserved(), Gauge: f.target, Log: logging.Logger{}, Metrics: metrics.New("test")})
+	f.agent = seats.NewAgent(seats.AgentConfig{Name: unreserved(), LoadSource: f.target, Log: logging.Logger{}, Metrics: metrics.New("test")})
 	go f.agent.Run(ctx)
 	f.peer = link.NewPeer(link.Config{Node: "entry", Dial: func(context.Context, string) (net.Conn, error) {
 		a, b := net.Pipe()
@@ -86,7 +86,7 @@
 // unreserved returns the name of a host whose agent reserves no slot.
 func unreserved() string {
 	name := "host"
-	for seats.Reserve(name) > 0 {
+	for seats.ReservedSlots(name) > 0 {
 		name += "x"
 	}
 	return name
@@ -187,7 +187,7 @@
 		if err != nil || seat == nil {
 			t.Fatalf("got seat %v, error %v, want a seat", seat, err)
 		}
-		f.agent.Leave()
+		f.agent.Drain()
 		select {
 		case <-seat.Yield:
 		case <-time.After(100 * time.Millisecond):
@@ -228,9 +228,9 @@
 			t.Errorf("silent target: got %v", l)
 		}
 		f.target.set(seats.Load{Active: 1}, false)
-		seats.TellFault(f.peer, "a")
-		seats.TellFault(f.peer, "b")
-		seats.TellFault(f.peer, "b")
+		seats.ReportFailure(f.peer, "a")
+		seats.ReportFailure(f.peer, "b")
+		seats.ReportFailure(f.peer, "b")
 		if l := report(); l.GetSilent() || l.GetWitnesses() != 2 {
 			t.Errorf("after failure reports of two entries: got %v", l)
 		}
@@ -251,8 +251,8 @@
 		go seats.Watch(ctx, f.peer, target, func(l *wire.Load) { failingEntries.Store(l.GetWitnesses()) })
 		const settleTime = 450 * time.Millisecond
 		time.Sleep(settleTime)
-		seats.TellFault(f.peer, "a")
-		seats.TellFault(f.peer, "b")
+		seats.ReportFailure(f.peer, "a")
+		seats.ReportFailure(f.peer, "b")
 		f.target.set(seats.Load{}, true)
 		time.Sleep(settleTime)
 		if n := failingEntries.Load(); n != 2 {
--- a/seats/arbiter.go
+++ b/seats/arbiter.go
@@ -76,9 +76,9 @@
 	return a.load
 }
 
-// Free returns the number of slots that are neither in use nor promised to a seat. It may
+// FreeSlots returns the number of slots that are neither in use nor promised to a seat. It may
 // be negative.
-func (a *Arbiter) Free(now time.Time) int {
+func (a *Arbiter) FreeSlots(now time.Time) int {
 	unseen := 0
 	for _, s := range a.held {
 		if now.Sub(s.granted) < reportLag {
@@ -97,9 +97,9 @@
 // makes items late and gains nothing for online requests.
 const urgentWithin = 12 * time.Second
 
-// Presses reports whether an item may take the reserved slots because it is due soon. An
+// Urgent reports whether an item may take the reserved slots because it is due soon. An
 // item that is already late may not.
-func Presses(now, due time.Time) bool {
+func Urgent(now, due time.Time) bool {
 	left := due.Sub(now)
 	return left > 0 && left < urgentWithin
 }
@@ -107,9 +107,9 @@
 // Acquire grants a seat to work with the given due time if a slot is free. It returns the
 // seat's ID, which is never 0.
 func (a *Arbiter) Acquire(now, due time.Time) (id uint64, ok bool) {
-	free := a.Room(now)
-	if Presses(now, due) {
-		free += a.Spare(now)
+	free := a.FreeSeats(now)
+	if Urgent(now, due) {
+		free += a.UrgentSeats(now)
 	}
 	if free <= 0 {
 		return 0, false
@@ -119,27 +119,27 @@
 	return a.lastID, true
 }
 
-// Room returns the number of seats that can be granted now. It may be negative.
-func (a *Arbiter) Room(now time.Time) int {
+// FreeSeats returns the number of seats that can be granted now. It may be negative.
+func (a *Arbiter) FreeSeats(now time.Time) int {
 	a.updateFreeSince(now)
 	if a.freeSince.IsZero() || now.Sub(a.freeSince) < minFreeTime {
 		return 0
 	}
-	return a.Free(now) - a.reserve
+	return a.FreeSlots(now) - a.reserve
 }
 
-// Spare returns the number of further seats that can be granted to urgent items.
-func (a *Arbiter) Spare(now time.Time) int {
+// UrgentSeats returns the number of further seats that can be granted to urgent items.
+func (a *Arbiter) UrgentSeats(now time.Time) int {
 	a.updateFreeSince(now)
 	if a.anyFreeSince.IsZero() || now.Sub(a.anyFreeSince) < minFreeTime {
 		return 0
 	}
-	return min(a.Free(now), a.reserve)
+	return min(a.FreeSlots(now), a.reserve)
 }
 
 // updateFreeSince updates freeSince and anyFreeSince.
 func (a *Arbiter) updateFreeSince(now time.Time) {
-	free := a.Free(now)
+	free := a.FreeSlots(now)
 	trackSince(&a.freeSince, free > a.reserve, now)
 	trackSince(&a.anyFreeSince, free > 0, now)
 }
--- a/seats/client.go
+++ b/seats/client.go
@@ -23,8 +23,8 @@
 	Yield <-chan struct{}
 }
 
-// Granted returns a seat without an agent.
-func Granted(yield <-chan struct{}) *Seat {
+// NewLocalSeat returns a seat without an agent.
+func NewLocalSeat(yield <-chan struct{}) *Seat {
 	return &Seat{release: func() {}, Yield: yield}
 }
 
@@ -96,9 +96,9 @@
 // failureReportTimeout bounds sending a failure report. No request waits for it.
 const failureReportTimeout = 500 * time.Millisecond
 
-// TellFault reports to the agent at peer that a request of an entry failed at the agent's
+// ReportFailure reports to the agent at peer that a request of an entry failed at the agent's
 // target. A lost report does no harm, because the next failure is reported again.
-func TellFault(peer *link.Peer, entry string) {
+func ReportFailure(peer *link.Peer, entry string) {
 	ctx, cancel := context.WithTimeout(context.Background(), failureReportTimeout)
 	defer cancel()
 	st, err := peer.Open(ctx, link.Control, &wire.Call{Kind: &wire.Call_Fault{Fault: &wire.TargetFault{Entry: entry}}})
