--- a/shards/manager.go
+++ b/shards/manager.go
@@ -49,27 +49,27 @@
 
 // Config configures how a process takes and keeps shards.
 type Config struct {
-	Self   string        // address of this process
-	Shards int           // number of shards
-	Lease  time.Duration // how long a confirmed view is valid
-	Log    store.Log
-	Part   store.Partition
+	Self      string        // address of this process
+	Shards    int           // number of shards
+	Lease     time.Duration // how long a confirmed view is valid
+	Log       store.Log
+	Partition store.Partition
 	// Wanted reports whether shards are needed at present.
-	Wanted func() bool
+	Needed func() bool
 	// Watches reports whether this process has to ensure that some process acts for a shard.
 	// Several processes may watch a shard; the store lets only one of them take it.
 	Watches func(shard int) bool
 	// Acts asks the process at addr whether it acts for a shard. answered is false if no reply
 	// arrives.
-	Acts func(ctx context.Context, addr string, shard int) (acts, answered bool)
+	IsActing func(ctx context.Context, addr string, shard int) (acts, answered bool)
 	// Clock is monotonic and includes the time in which the host is suspended.
 	Clock   func() time.Duration
-	Out     logging.Logger
+	Logger  logging.Logger
 	Metrics *metrics.Set
 }
 
-// Keeper takes, renews and releases the shards of a process. It is safe for concurrent use.
-type Keeper struct {
+// Manager takes, renews and releases the shards of a process. It is safe for concurrent use.
+type Manager struct {
 	cfg      Config
 	follower *store.Follower
 	// table is guarded by the follower's lock: only Look and the sink access it.
@@ -86,16 +86,16 @@
 	since time.Duration
 }
 
-// NewKeeper prepares the shards of a process. It reads and writes no records before Run.
-func NewKeeper(cfg Config) *Keeper {
-	m := &Keeper{cfg: cfg, table: NewTable(cfg.Self, cfg.Lease), outages: make(map[int]outage)}
-	m.follower = store.NewFollower(cfg.Log, cfg.Part, sink{m}, store.FollowSettings{Wait: cfg.Lease / (renewDivisor + 1), Clock: cfg.Clock})
+// NewManager prepares the shards of a process. It reads and writes no records before Run.
+func NewManager(cfg Config) *Manager {
+	m := &Manager{cfg: cfg, table: NewTable(cfg.Self, cfg.Lease), outages: make(map[int]outage)}
+	m.follower = store.NewFollower(cfg.Log, cfg.Partition, sink{m}, store.FollowerConfig{Wait: cfg.Lease / (renewDivisor + 1), Clock: cfg.Clock})
 	return m
 }
 
 // sink folds records into the table. The follower makes one call at a time and holds its
 // lock during the call.
-type sink struct{ m *Keeper }
+type sink struct{ m *Manager }
 
 // Reset implements store.Sink.
 func (s sink) Reset(recs []store.Record) {
@@ -112,23 +112,23 @@
 
 // viewTable calls fn with the table and the end offset of the records, unless none have
 // been read. fn runs under the lock of the follower.
-func (m *Keeper) viewTable(fn func(t *Table, end int64)) {
-	m.follower.Look(func(end int64, _ <-chan struct{}) { fn(m.table, end) })
+func (m *Manager) viewTable(fn func(t *Table, end int64)) {
+	m.follower.View(func(end int64, _ <-chan struct{}) { fn(m.table, end) })
 }
 
 // Owner returns the address of the process that acts for a shard, "" if none is known.
-func (m *Keeper) Owner(shard int) (addr string) {
+func (m *Manager) Owner(shard int) (addr string) {
 	m.viewTable(func(t *Table, _ int64) { addr = t.Owner(shard) })
 	return addr
 }
 
 // Active returns the time since which this process has been acting for a shard. It returns
 // false while the process must not act.
-func (m *Keeper) Active(shard int) (since time.Duration, ok bool) {
+func (m *Manager) Active(shard int) (since time.Duration, ok bool) {
 	if m.isLeaving() {
 		return 0, false
 	}
-	confirmed, known := m.follower.Confirmed()
+	confirmed, known := m.follower.ConfirmedAt()
 	if !known {
 		return 0, false
 	}
@@ -136,15 +136,15 @@
 	return since, ok
 }
 
-func (m *Keeper) isLeaving() bool {
+func (m *Manager) isLeaving() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.leaving
 }
 
 // Run takes and renews shards until ctx ends. It waits until shards are needed.
-func (m *Keeper) Run(ctx context.Context) {
-	for !m.cfg.Wanted() {
+func (m *Manager) Run(ctx context.Context) {
+	for !m.cfg.Needed() {
 		if wait.For(ctx, wantedPollInterval) != nil {
 			return
 		}
@@ -164,7 +164,7 @@
 }
 
 // takeUnowned takes watched shards as soon as they have no owner.
-func (m *Keeper) takeUnowned(ctx context.Context) {
+func (m *Manager) takeUnowned(ctx context.Context) {
 	for {
 		changed := m.changed()
 		m.take(ctx, m.watchedOwners(), nil)
@@ -177,13 +177,13 @@
 
 // changed returns a channel that is closed at the next change of the records, nil if no
 // records have been read.
-func (m *Keeper) changed() (ch <-chan struct{}) {
-	m.follower.Look(func(_ int64, c <-chan struct{}) { ch = c })
+func (m *Manager) changed() (ch <-chan struct{}) {
+	m.follower.View(func(_ int64, c <-chan struct{}) { ch = c })
 	return ch
 }
 
 // renew keeps the view confirmed within the lease.
-func (m *Keeper) renew(ctx context.Context) {
+func (m *Manager) renew(ctx context.Context) {
 	for wait.For(ctx, renewInterval) == nil {
 		if m.follower.Confirm(ctx, m.cfg.Lease/renewDivisor) != nil {
 			m.cfg.Metrics.Count("shards_not_confirmed") // an unconfirmed view expires, so this process stops acting
@@ -192,13 +192,13 @@
 }
 
 // watch takes over the watched shards whose owners have failed.
-func (m *Keeper) watch(ctx context.Context) {
+func (m *Manager) watch(ctx context.Context) {
 	owners := m.watchedOwners()
 	m.take(ctx, owners, m.orphaned(ctx, owners))
 }
 
 // watchedOwners returns the owner of each shard that this process watches, "" for none.
-func (m *Keeper) watchedOwners() map[int]string {
+func (m *Manager) watchedOwners() map[int]string {
 	owners := make(map[int]string)
 	m.viewTable(func(t *Table, _ int64) {
 		for n := range m.cfg.Shards {
@@ -212,7 +212,7 @@
 
 // take takes the shards without an owner and the given orphaned shards. It skips shards
 // whose owner has changed in the meantime.
-func (m *Keeper) take(ctx context.Context, owners map[int]string, orphaned []int) {
+func (m *Manager) take(ctx context.Context, owners map[int]string, orphaned []int) {
 	due := slices.Clone(orphaned)
 	for n, owner := range owners {
 		if owner == "" {
@@ -230,7 +230,7 @@
 
 // orphaned probes the given owners and returns the shards whose owners have not acted for
 // too long.
-func (m *Keeper) orphaned(ctx context.Context, owners map[int]string) []int {
+func (m *Manager) orphaned(ctx context.Context, owners map[int]string) []int {
 	now := m.cfg.Clock()
 	notActing, anyAnswered := m.probeOwners(ctx, owners)
 	timeout := takeoverTimeout
@@ -242,7 +242,7 @@
 
 // probeOwners asks the owners of shards concurrently whether they act for them. It returns
 // the shards whose owners did not confirm it, and whether any process answered at all.
-func (m *Keeper) probeOwners(ctx context.Context, owners map[int]string) (notActing map[int]string, anyAnswered bool) {
+func (m *Manager) probeOwners(ctx context.Context, owners map[int]string) (notActing map[int]string, anyAnswered bool) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	notActing = make(map[int]string)
@@ -253,7 +253,7 @@
 			continue
 		}
 		all.Go(func() {
-			acts, answered := m.cfg.Acts(ctx, owner, n)
+			acts, answered := m.cfg.IsActing(ctx, owner, n)
 			mu.Lock()
 			defer mu.Unlock()
 			anyAnswered = anyAnswered || answered
@@ -268,7 +268,7 @@
 
 // anyOtherAnswers reports whether any process answers besides the owners that do not act. It
 // probes up to maxProbes processes.
-func (m *Keeper) anyOtherAnswers(ctx context.Context, notActing map[int]string) bool {
+func (m *Manager) anyOtherAnswers(ctx context.Context, notActing map[int]string) bool {
 	others := make(map[string]int) // one shard of each process, by address
 	m.viewTable(func(t *Table, _ int64) {
 		for n := range m.cfg.Shards {
@@ -283,7 +283,7 @@
 	tries := 0
 	for owner, n := range others { // map order, so the probed processes vary
 		one, cancel := context.WithTimeout(ctx, probeTimeout)
-		_, answered := m.cfg.Acts(one, owner, n)
+		_, answered := m.cfg.IsActing(one, owner, n)
 		cancel()
 		if answered {
 			return true
@@ -298,7 +298,7 @@
 // expiredOutages records the shards whose owners do not act and returns those whose outage
 // has lasted for the time-out. An owner that has just taken its shard gets two leases more,
 // because it waits before it acts.
-func (m *Keeper) expiredOutages(notActing map[int]string, now, timeout time.Duration) []int {
+func (m *Manager) expiredOutages(notActing map[int]string, now, timeout time.Duration) []int {
 	settled := make(map[int]bool)
 	m.viewTable(func(t *Table, _ int64) {
 		for n := range notActing {
@@ -331,7 +331,7 @@
 }
 
 // settle records that the takeover waits of this process are over.
-func (m *Keeper) settle(ctx context.Context) {
+func (m *Manager) settle(ctx context.Context) {
 	var ended []int
 	m.viewTable(func(t *Table, _ int64) { ended = t.Unsettled(m.cfg.Clock()) })
 	if len(ended) == 0 || m.isLeaving() {
@@ -345,7 +345,7 @@
 
 // Leave stops acting and releases the shards of this process, so that others can act for
 // them at once.
-func (m *Keeper) Leave(ctx context.Context) {
+func (m *Manager) Leave(ctx context.Context) {
 	m.mu.Lock()
 	m.leaving = true
 	m.mu.Unlock()
@@ -378,7 +378,7 @@
 
 // write appends the records that decide returns, on the condition that no other process has
 // written since the table was read. After a conflict it reads the new records and retries.
-func (m *Keeper) write(ctx context.Context, decide func(t *Table) ([]store.Record, error)) error {
+func (m *Manager) write(ctx context.Context, decide func(t *Table) ([]store.Record, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	var appendErr error
@@ -390,9 +390,9 @@
 		if err != nil || len(recs) == 0 {
 			return err
 		}
-		_, appendErr = m.cfg.Log.Append(ctx, m.cfg.Part, recs, offset)
+		_, appendErr = m.cfg.Log.Append(ctx, m.cfg.Partition, recs, offset)
 		if appendErr == nil {
-			m.follower.Appended(recs, offset)
+			m.follower.ApplyAppended(recs, offset)
 			return nil
 		}
 		var conflict *store.ConflictError
@@ -410,12 +410,12 @@
 }
 
 // logWrite logs the result of a write of shard records.
-func (m *Keeper) logWrite(action string, shards []int, err error) {
+func (m *Manager) logWrite(action string, shards []int, err error) {
 	slices.Sort(shards)
 	if err != nil {
 		m.cfg.Metrics.Count("shards_not_written")
-		m.cfg.Out.Warn(action+": write failed", logging.F("shards", shards), logging.F("error", err.Error()))
+		m.cfg.Logger.Warn(action+": write failed", logging.F("shards", shards), logging.F("error", err.Error()))
 		return
 	}
-	m.cfg.Out.Info(action, logging.F("shards", shards))
+	m.cfg.Logger.Info(action, logging.F("shards", shards))
 }
--- a/shards/manager_test.go
+++ b/shards/manager_test.go
@@ -26,7 +26,7 @@
 // host is a simulated host with one process that may act for shards.
 type host struct {
 	name string
-	*shards.Keeper
+	*shards.Manager
 	stop        context.CancelFunc
 	up          bool
 	unreachable bool          // from the other hosts
@@ -61,12 +61,12 @@
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
 	h.stop, h.up = cancel, true
-	h.Keeper = shards.NewKeeper(shards.Config{
-		Self: h.name, Shards: shardCount, Lease: lease, Log: c.store.For(h.name), Part: store.Partition{Topic: "shards"},
-		Wanted: func() bool { return true }, Watches: func(int) bool { return true },
-		Acts:  func(ctx context.Context, addr string, shard int) (bool, bool) { return c.acts(ctx, h, addr, shard) },
-		Clock: func() time.Duration { c.mu.Lock(); defer c.mu.Unlock(); return time.Since(c.started) + h.suspended },
-		Out:   logging.Logger{}, Metrics: metrics.New(h.name),
+	h.Manager = shards.NewManager(shards.Config{
+		Self: h.name, Shards: shardCount, Lease: lease, Log: c.store.ClientFor(h.name), Partition: store.Partition{Topic: "shards"},
+		Needed: func() bool { return true }, Watches: func(int) bool { return true },
+		IsActing: func(ctx context.Context, addr string, shard int) (bool, bool) { return c.acts(ctx, h, addr, shard) },
+		Clock:    func() time.Duration { c.mu.Lock(); defer c.mu.Unlock(); return time.Since(c.started) + h.suspended },
+		Logger:   logging.Logger{}, Metrics: metrics.New(h.name),
 	})
 	go h.Run(ctx)
 }
@@ -74,10 +74,10 @@
 // acts asks a process, on behalf of the host from, whether it acts for a shard.
 func (c *cluster) acts(ctx context.Context, from *host, addr string, shard int) (acts, answered bool) {
 	c.mu.Lock()
-	var to *shards.Keeper
+	var to *shards.Manager
 	for _, h := range c.hosts {
 		if h.name == addr && h.up && !h.unreachable && !from.unreachable {
-			to = h.Keeper
+			to = h.Manager
 		}
 	}
 	c.mu.Unlock()
@@ -101,9 +101,9 @@
 	c.mu.Lock()
 	h.unreachable = isolated
 	c.mu.Unlock()
-	fault := sharedstore.None
+	fault := sharedstore.NoFault
 	if isolated {
-		fault = sharedstore.Silent
+		fault = sharedstore.NoResponse
 	}
 	c.store.SetFault(h.name, fault)
 }
@@ -183,9 +183,9 @@
 			h.unreachable = true // from the other hosts only, not from the store
 			c.mu.Unlock()
 		case 8:
-			c.store.SetFault(h.name, sharedstore.Silent) // from the store only, not from the other hosts
+			c.store.SetFault(h.name, sharedstore.NoResponse) // from the store only, not from the other hosts
 		case 6:
-			c.store.Forget(store.Partition{Topic: "shards"})
+			c.store.DropHistory(store.Partition{Topic: "shards"})
 		}
 		for range st.Ms / 100 {
 			time.Sleep(100 * time.Millisecond)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -175,7 +175,7 @@
 	}
 	if strings.Contains(req.Prompt, MarkFlaky) && e.flakyCount[req.Prompt] < maxFlakyFailures {
 		e.flakyCount[req.Prompt]++
-		return nil, engine.ErrBusy
+		return nil, engine.ErrTransient
 	}
 	prompt := PromptTokens(req.Prompt)
 	blocks := (prompt + int(req.MaxTokens) + KVBlockTokens - 1) / KVBlockTokens
@@ -337,18 +337,18 @@
 // emit sends one token and reports whether the sequence is finished.
 func (e *Engine) emit(s *sequence) bool {
 	if s.generated >= s.req.MaxTokens {
-		s.out <- chunkOrErr{chunk: engine.Chunk{Finish: "length", PromptTokens: uint32(s.promptTokens)}}
+		s.out <- chunkOrErr{chunk: engine.Chunk{FinishReason: "length", PromptTokens: uint32(s.promptTokens)}}
 		return true
 	}
 	c := engine.Chunk{Text: TokenText(s.req.Prompt, s.generated), Tokens: 1}
 	s.generated++
 	e.stats.Tokens++
 	if s.generated >= s.req.MaxTokens {
-		c.Finish = "length"
+		c.FinishReason = "length"
 		c.PromptTokens = uint32(s.promptTokens)
 	}
 	s.out <- chunkOrErr{chunk: c}
-	return c.Finish != ""
+	return c.FinishReason != ""
 }
 
 // Crash drops all requests and the prefix cache. The engine is then unavailable for
@@ -432,15 +432,15 @@
 	return out, nil
 }
 
-// Runs returns how often a request ID was accepted for execution.
-func (e *Engine) Runs(id string) int {
+// RunCount returns how often a request ID was accepted for execution.
+func (e *Engine) RunCount(id string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[id]
 }
 
-// AllRuns returns how often each request ID was accepted for execution.
-func (e *Engine) AllRuns() map[string]int {
+// RunCounts returns how often each request ID was accepted for execution.
+func (e *Engine) RunCounts() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := make(map[string]int, len(e.runs))
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -20,7 +20,7 @@
 			return b.String(), err
 		}
 		b.WriteString(c.Text)
-		if c.Finish != "" {
+		if c.FinishReason != "" {
 			return b.String(), nil
 		}
 	}
--- a/standin/hosts.go
+++ b/standin/hosts.go
@@ -125,8 +125,8 @@
 	return 200, "application/json", []byte(`{"done":"` + method + " " + path + `"}`), nil
 }
 
-// Calls returns the number of calls with a body.
-func (s *Service) Calls(body string) int {
+// CallCount returns the number of calls with a body.
+func (s *Service) CallCount(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[body]
--- a/standin/http.go
+++ b/standin/http.go
@@ -80,12 +80,12 @@
 // Faults is the body of POST /faults, which sets all faults of the platform's
 // stand-ins.
 type Faults struct {
-	LogDown     bool    `json:"log_down"`
-	HostsDown   bool    `json:"hosts_down"`
-	SlowMs      int     `json:"slow_ms"`
-	LoseAnswers int     `json:"lose_answers"`
-	LostRate    float64 `json:"lost_rate"`
-	LateRate    float64 `json:"late_rate"`
+	LogDown       bool    `json:"log_down"`
+	HostsDown     bool    `json:"hosts_down"`
+	SlowMs        int     `json:"slow_ms"`
+	LoseResponses int     `json:"lose_answers"`
+	LostRate      float64 `json:"lost_rate"`
+	LateRate      float64 `json:"late_rate"`
 }
 
 func serveFaults(c *app.RequestContext, log *Log, hosts *HostList) {
@@ -95,8 +95,8 @@
 		return
 	}
 	log.SetDown(f.LogDown)
-	log.SetSlow(time.Duration(f.SlowMs) * time.Millisecond)
-	log.LoseAnswers(f.LoseAnswers)
+	log.SetExtraLatency(time.Duration(f.SlowMs) * time.Millisecond)
+	log.LoseResponses(f.LoseResponses)
 	log.SetFaultRates(f.LostRate, f.LateRate)
 	hosts.SetDown(f.HostsDown)
 	httpx.WriteJSON(c, 200, f)
@@ -192,7 +192,7 @@
 		httpx.WriteJSON(c, 200, kv)
 	})
 	h.POST("/v1/import", s.importKV)
-	h.GET("/runs", func(_ context.Context, c *app.RequestContext) { httpx.WriteJSON(c, 200, e.AllRuns()) })
+	h.GET("/runs", func(_ context.Context, c *app.RequestContext) { httpx.WriteJSON(c, 200, e.RunCounts()) })
 	h.GET("/stats", func(_ context.Context, c *app.RequestContext) { httpx.WriteJSON(c, 200, e.Stats()) })
 }
 
@@ -246,14 +246,14 @@
 func (s *engineServer) streamChunks(ctx context.Context, w *sse.Writer, st engine.Stream) {
 	for {
 		c, err := st.Next(ctx)
-		chunk := enginehttp.CompletionChunk{Choices: []enginehttp.Choice{{Text: c.Text, Tokens: c.Tokens, FinishReason: c.Finish}}}
+		chunk := enginehttp.CompletionChunk{Choices: []enginehttp.Choice{{Text: c.Text, Tokens: c.Tokens, FinishReason: c.FinishReason}}}
 		if err != nil {
 			chunk = enginehttp.CompletionChunk{Error: &enginehttp.Error{Code: enginehttp.CodeFor(err), Message: err.Error()}}
-		} else if c.Finish != "" {
+		} else if c.FinishReason != "" {
 			chunk.Usage = &enginehttp.Usage{PromptTokens: c.PromptTokens}
 		}
 		data, _ := json.Marshal(chunk)
-		if w.WriteEvent("", "", data) != nil || err != nil || c.Finish != "" {
+		if w.WriteEvent("", "", data) != nil || err != nil || c.FinishReason != "" {
 			return
 		}
 	}
--- a/standin/log.go
+++ b/standin/log.go
@@ -81,15 +81,15 @@
 	l.down = down
 }
 
-// SetSlow sets a delay that is added to each call.
-func (l *Log) SetSlow(d time.Duration) {
+// SetExtraLatency sets a delay that is added to each call.
+func (l *Log) SetExtraLatency(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.slow = d
 }
 
-// LoseAnswers makes the next n appends take effect and then return an error.
-func (l *Log) LoseAnswers(n int) {
+// LoseResponses makes the next n appends take effect and then return an error.
+func (l *Log) LoseResponses(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.loseNext = n
@@ -118,8 +118,8 @@
 	l.stream(stream).trim(below)
 }
 
-// Counts returns the number of appends that took effect and their total bytes.
-func (l *Log) Counts() (appends, bytes uint64) {
+// AppendCounts returns the number of appends that took effect and their total bytes.
+func (l *Log) AppendCounts() (appends, bytes uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.appends, l.bytes
--- a/standin/sharedstore/sharedstore.go
+++ b/standin/sharedstore/sharedstore.go
@@ -18,15 +18,15 @@
 
 // The values of Fault.
 const (
-	None       Fault = iota
-	Refuse           // the call is refused without effect
-	Silent           // the call gets no response and has no effect
-	LoseAnswer       // an append takes effect but gets no response
-	Late             // an append is tried after LateBy and gets no response
+	NoFault      Fault = iota
+	Refuse             // the call is refused without effect
+	NoResponse         // the call gets no response and has no effect
+	LoseResponse       // an append takes effect but gets no response
+	ApplyLate          // an append is tried after LateDelay and gets no response
 )
 
-// LateBy is how long a late append is delayed.
-const LateBy = 2 * time.Second
+// LateDelay is how long a late append is delayed.
+const LateDelay = 2 * time.Second
 
 // Store is the simulated store. Use New; the zero value is not usable.
 type Store struct {
@@ -92,13 +92,13 @@
 	s.notifyLocked()
 }
 
-// SetDown makes a partition refuse all calls or serve them again.
-func (s *Store) SetDown(p store.Partition, down bool) {
+// SetPartitionDown makes a partition refuse all calls or serve them again.
+func (s *Store) SetPartitionDown(p store.Partition, down bool) {
 	if down {
 		s.SetPartitionFault(p, Refuse)
 		return
 	}
-	s.SetPartitionFault(p, None)
+	s.SetPartitionFault(p, NoFault)
 }
 
 // SetPartitionFault sets the fault of all hosts' calls to a partition from now on.
@@ -117,15 +117,15 @@
 	s.reads.perSecond = n
 }
 
-// Calls returns the number of calls so far.
-func (s *Store) Calls() int {
+// CallCount returns the number of calls so far.
+func (s *Store) CallCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Forget removes the history of a partition; the newest record of each key stays.
-func (s *Store) Forget(p store.Partition) {
+// DropHistory removes the history of a partition; the newest record of each key stays.
+func (s *Store) DropHistory(p store.Partition) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.logLocked(p)
@@ -192,28 +192,28 @@
 	s.notifyLocked()
 }
 
-// For returns a client of the store for a host.
-func (s *Store) For(host string) *Face {
-	return &Face{store: s, host: host}
+// ClientFor returns a client of the store for a host.
+func (s *Store) ClientFor(host string) *HostClient {
+	return &HostClient{store: s, host: host}
 }
 
-// Face implements store.Client for one host.
-type Face struct {
+// HostClient implements store.Client for one host.
+type HostClient struct {
 	store *Store
 	host  string
 }
 
-var _ store.Client = (*Face)(nil)
+var _ store.Client = (*HostClient)(nil)
 
 // beginCall counts a call and applies the fault of the host or of the partitions. It
 // returns the fault and no error if the call is still to be executed.
-func (c *Face) beginCall(ctx context.Context, parts ...store.Partition) (Fault, error) {
+func (c *HostClient) beginCall(ctx context.Context, parts ...store.Partition) (Fault, error) {
 	s := c.store
 	s.mu.Lock()
 	s.calls++
 	fault := s.hostFaults[c.host]
 	for _, p := range parts {
-		if s.partitionFaults[p] != None {
+		if s.partitionFaults[p] != NoFault {
 			fault = s.partitionFaults[p]
 		}
 	}
@@ -221,16 +221,16 @@
 	switch fault {
 	case Refuse:
 		return fault, store.ErrRefused
-	case Silent:
+	case NoResponse:
 		<-ctx.Done()
 		return fault, errors.Mark(ctx.Err(), store.ErrUnavailable)
-	case None, LoseAnswer, Late:
+	case NoFault, LoseResponse, ApplyLate:
 	}
 	return fault, ctx.Err()
 }
 
 // beginRead is beginCall for a read, which counts towards the limit on reads.
-func (c *Face) beginRead(ctx context.Context, p store.Partition) error {
+func (c *HostClient) beginRead(ctx context.Context, p store.Partition) error {
 	if _, err := c.beginCall(ctx, p); err != nil {
 		return err
 	}
@@ -243,18 +243,18 @@
 }
 
 // Append implements store.Log.
-func (c *Face) Append(ctx context.Context, p store.Partition, recs []store.Record, at int64) (int64, error) {
+func (c *HostClient) Append(ctx context.Context, p store.Partition, recs []store.Record, at int64) (int64, error) {
 	fault, err := c.beginCall(ctx, p)
 	if err != nil {
 		return 0, err
 	}
-	if fault == Late {
-		time.AfterFunc(LateBy, func() { _, _ = c.store.append(p, recs, at) })
+	if fault == ApplyLate {
+		time.AfterFunc(LateDelay, func() { _, _ = c.store.append(p, recs, at) })
 		<-ctx.Done()
 		return 0, errors.Mark(ctx.Err(), store.ErrUnavailable)
 	}
 	end, err := c.store.append(p, recs, at)
-	if fault == LoseAnswer {
+	if fault == LoseResponse {
 		<-ctx.Done()
 		return 0, errors.Mark(ctx.Err(), store.ErrUnavailable)
 	}
@@ -272,7 +272,7 @@
 }
 
 // Read implements store.Log.
-func (c *Face) Read(ctx context.Context, p store.Partition, from int64, wait time.Duration) (store.Page, error) {
+func (c *HostClient) Read(ctx context.Context, p store.Partition, from int64, wait time.Duration) (store.Page, error) {
 	if err := c.beginRead(ctx, p); err != nil {
 		return store.Page{}, err
 	}
@@ -298,10 +298,10 @@
 	}
 }
 
-func (c *Face) unresponsive(p store.Partition) bool {
+func (c *HostClient) unresponsive(p store.Partition) bool {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
-	return c.store.hostFaults[c.host] == Silent || c.store.partitionFaults[p] == Silent
+	return c.store.hostFaults[c.host] == NoResponse || c.store.partitionFaults[p] == NoResponse
 }
 
 func (s *Store) page(p store.Partition, from int64) (store.Page, chan struct{}, error) {
@@ -322,7 +322,7 @@
 const newestPageKeys = 500
 
 // Newest implements store.Log.
-func (c *Face) Newest(ctx context.Context, p store.Partition, after string) (store.Snapshot, error) {
+func (c *HostClient) Newest(ctx context.Context, p store.Partition, after string) (store.Snapshot, error) {
 	if err := c.beginRead(ctx, p); err != nil {
 		return store.Snapshot{}, err
 	}
@@ -348,7 +348,7 @@
 }
 
 // Join implements store.Groups.
-func (c *Face) Join(ctx context.Context, req store.JoinRequest) (store.Membership, error) {
+func (c *HostClient) Join(ctx context.Context, req store.JoinRequest) (store.Membership, error) {
 	if _, err := c.beginCall(ctx); err != nil {
 		return store.Membership{}, err
 	}
@@ -420,7 +420,7 @@
 }
 
 // Leave implements store.Groups.
-func (c *Face) Leave(ctx context.Context, name, member string) error {
+func (c *HostClient) Leave(ctx context.Context, name, member string) error {
 	if _, err := c.beginCall(ctx); err != nil {
 		return err
 	}
@@ -435,7 +435,7 @@
 }
 
 // Owners implements store.Groups.
-func (c *Face) Owners(ctx context.Context, name string) ([]store.Owner, error) {
+func (c *HostClient) Owners(ctx context.Context, name string) ([]store.Owner, error) {
 	if _, err := c.beginCall(ctx); err != nil {
 		return nil, err
 	}
@@ -451,8 +451,8 @@
 	return out, nil
 }
 
-// Kept returns the number of keys in a partition, regardless of faults.
-func (c *Face) Kept(p store.Partition) int {
+// KeyCount returns the number of keys in a partition, regardless of faults.
+func (c *HostClient) KeyCount(p store.Partition) int {
 	c.store.mu.Lock()
 	defer c.store.mu.Unlock()
 	return len(c.store.logLocked(p).newest)
--- a/store/failover.go
+++ b/store/failover.go
@@ -174,17 +174,17 @@
 	return zero, lastErr
 }
 
-// Reaches reports whether direct calls reach the store. It returns false after a direct call
+// DirectReachable reports whether direct calls reach the store. It returns false after a direct call
 // that got no answer or was refused, until another one succeeds.
-func (f *Failover) Reaches() bool {
+func (f *Failover) DirectReachable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.directFailed
 }
 
-// Away reports whether no backend reaches the store: the last direct call failed, and so did
+// Unreachable reports whether no backend reaches the store: the last direct call failed, and so did
 // the last call through peers, or there are no peers.
-func (f *Failover) Away() bool {
+func (f *Failover) Unreachable() bool {
 	noPeers := len(f.peers()) == 0
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/store/failover_test.go
+++ b/store/failover_test.go
@@ -13,13 +13,13 @@
 )
 
 func newFailover(s *sharedstore.Store) *store.Failover {
-	return store.NewFailover(s.For("a"), func() []store.Peer { return []store.Peer{s.For("b"), s.For("c")} })
+	return store.NewFailover(s.ClientFor("a"), func() []store.Peer { return []store.Peer{s.ClientFor("b"), s.ClientFor("c")} })
 }
 
 // Guards against an entry that accepts no jobs and sees no changes while the store refuses
 // or does not answer its host but serves others.
 func TestRefusedHostCallsThroughPeers(t *testing.T) {
-	for _, fault := range []sharedstore.Fault{sharedstore.Refuse, sharedstore.Silent} {
+	for _, fault := range []sharedstore.Fault{sharedstore.Refuse, sharedstore.NoResponse} {
 		synctest.Test(t, func(t *testing.T) {
 			s := sharedstore.New(1)
 			s.Put(testPartition, "k", []byte("v"))
@@ -43,7 +43,7 @@
 func TestAppendWithoutAnswerIsNotRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
-		s.SetFault("a", sharedstore.LoseAnswer)
+		s.SetFault("a", sharedstore.LoseResponse)
 		_, err := newFailover(s).Append(t.Context(), testPartition, []store.Record{{Key: "k", Value: []byte("v")}}, store.AnyEnd)
 		if !errors.Is(err, store.ErrUnavailable) {
 			t.Fatalf("append: got error %v, want ErrUnavailable", err)
@@ -71,7 +71,7 @@
 			}
 		}
 		// Only the first call within the second tries the two peers.
-		if got := s.Calls(); got > calls+2 {
+		if got := s.CallCount(); got > calls+2 {
 			t.Fatalf("the store received %d calls for %d reads", got, calls)
 		}
 	})
@@ -81,7 +81,7 @@
 func TestAvoidsUnresponsiveStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
-		s.SetFault("a", sharedstore.Silent)
+		s.SetFault("a", sharedstore.NoResponse)
 		f := newFailover(s)
 		start := time.Now()
 		for range 10 {
@@ -102,7 +102,7 @@
 		s := sharedstore.New(1)
 		f := newFailover(s)
 		ctx := context.WithoutCancel(t.Context())
-		s.SetFault("a", sharedstore.Silent)
+		s.SetFault("a", sharedstore.NoResponse)
 		if _, err := f.Newest(ctx, testPartition, ""); err != nil {
 			t.Fatal(err)
 		}
@@ -113,12 +113,12 @@
 				t.Errorf("append %d: got error %v after %s, want success at once", n, err, time.Since(start))
 			}
 		}
-		s.SetFault("a", sharedstore.None)
+		s.SetFault("a", sharedstore.NoFault)
 		time.Sleep(1500 * time.Millisecond)
 		if _, err := f.Newest(ctx, testPartition, ""); err != nil {
 			t.Fatal(err)
 		}
-		s.SetFault("b", sharedstore.Silent) // a peer: direct calls are preferred again
+		s.SetFault("b", sharedstore.NoResponse) // a peer: direct calls are preferred again
 		if _, err := f.Append(ctx, testPartition, []store.Record{{Key: "k", Value: []byte("v")}}, store.AnyEnd); err != nil {
 			t.Errorf("append after the store recovered: %v", err)
 		}
--- a/store/follower.go
+++ b/store/follower.go
@@ -19,36 +19,36 @@
 	Apply(recs ...Record)
 }
 
-// FollowSettings configures a Follower.
-type FollowSettings struct {
+// FollowerConfig configures a Follower.
+type FollowerConfig struct {
 	// Wait is how long one read waits for records. It bounds the delay until an
 	// unresponsive connection is detected.
 	Wait time.Duration
 	// Pause is the delay after a read that returns records. It bounds the rate of
 	// calls for a busy partition.
 	Pause time.Duration
-	// OnTrouble is called on the first failed read of an outage, OnContact on the first
+	// OnFailure is called on the first failed read of an outage, OnRecovery on the first
 	// read that succeeds after it, with the length of the outage.
-	OnTrouble func(err error)
-	OnContact func(outage time.Duration)
+	OnFailure  func(err error)
+	OnRecovery func(outage time.Duration)
 	// This semaphore bounds the number of concurrent full reads of partitions; nil sets
 	// no bound.
-	Loads Loads
+	LoadLimit LoadLimit
 	// Clock is a monotonic clock for confirmation times; nil if they are not used.
 	Clock func() time.Duration
 }
 
-// Loads is a semaphore that bounds how many partitions a process loads in full at a time.
+// LoadLimit is a semaphore that bounds how many partitions a process loads in full at a time.
 // Many concurrent loads over a slow link would all time out and start again.
-type Loads chan struct{}
+type LoadLimit chan struct{}
 
-// NewLoads returns a semaphore that permits n concurrent loads.
-func NewLoads(n int) Loads {
-	return make(Loads, n)
+// NewLoadLimit returns a semaphore that permits n concurrent loads.
+func NewLoadLimit(n int) LoadLimit {
+	return make(LoadLimit, n)
 }
 
 // acquire waits until a load is permitted. The caller calls release after the load.
-func (l Loads) acquire(ctx context.Context) (release func(), err error) {
+func (l LoadLimit) acquire(ctx context.Context) (release func(), err error) {
 	if l == nil {
 		return func() {}, nil
 	}
@@ -79,7 +79,7 @@
 type Follower struct {
 	log       Log
 	partition Partition
-	cfg       FollowSettings
+	cfg       FollowerConfig
 
 	mu         sync.Mutex
 	sink       Sink
@@ -97,15 +97,15 @@
 
 // NewFollower returns a Follower. It makes no reads until one of its methods is
 // called.
-func NewFollower(log Log, part Partition, sink Sink, cfg FollowSettings) *Follower {
-	if cfg.OnTrouble == nil {
-		cfg.OnTrouble = func(error) {}
+func NewFollower(log Log, part Partition, sink Sink, cfg FollowerConfig) *Follower {
+	if cfg.OnFailure == nil {
+		cfg.OnFailure = func(error) {}
 	}
 	if cfg.Clock == nil {
 		cfg.Clock = func() time.Duration { return 0 }
 	}
-	if cfg.OnContact == nil {
-		cfg.OnContact = func(time.Duration) {}
+	if cfg.OnRecovery == nil {
+		cfg.OnRecovery = func(time.Duration) {}
 	}
 	return &Follower{
 		log: log, partition: part, sink: sink, cfg: cfg,
@@ -127,14 +127,14 @@
 		if err != nil {
 			if failedSince.IsZero() {
 				failedSince = time.Now()
-				f.cfg.OnTrouble(err)
+				f.cfg.OnFailure(err)
 			}
 			_ = wait.For(ctx, retryDelay)
 			retryDelay = min(2*retryDelay, maxRetryDelay)
 			continue
 		}
 		if !failedSince.IsZero() {
-			f.cfg.OnContact(time.Since(failedSince))
+			f.cfg.OnRecovery(time.Since(failedSince))
 			failedSince = time.Time{}
 		}
 		retryDelay = minRetryDelay
@@ -171,7 +171,7 @@
 	if f.loadCount() != before {
 		return nil
 	}
-	release, err := f.cfg.Loads.acquire(ctx)
+	release, err := f.cfg.LoadLimit.acquire(ctx)
 	if err != nil {
 		return err
 	}
@@ -263,11 +263,11 @@
 	f.confirmedAt, f.hasConfirmed = max(f.confirmedAt, at), true
 }
 
-// Confirmed returns the latest time, by the configured clock, at which the state is known to
+// ConfirmedAt returns the latest time, by the configured clock, at which the state is known to
 // have held all records of the partition. This is the start of a read, since a read that
 // waits for records may miss one that is written meanwhile. It reports false until a read has
 // reached the end of the partition.
-func (f *Follower) Confirmed() (time.Duration, bool) {
+func (f *Follower) ConfirmedAt() (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.confirmedAt, f.hasConfirmed
@@ -278,9 +278,9 @@
 	f.changed = make(chan struct{})
 }
 
-// Catch ensures that the state is at most maxAge old. If it may be older, it reads up to the
+// CatchUp ensures that the state is at most maxAge old. If it may be older, it reads up to the
 // end of the partition; concurrent callers share that read.
-func (f *Follower) Catch(ctx context.Context, maxAge time.Duration) error {
+func (f *Follower) CatchUp(ctx context.Context, maxAge time.Duration) error {
 	oldest := time.Now().Add(-maxAge)
 	return f.readToEndUnless(ctx, func() bool { return !f.AsOf().Before(oldest) })
 }
@@ -290,7 +290,7 @@
 func (f *Follower) Confirm(ctx context.Context, maxAge time.Duration) error {
 	oldest := f.cfg.Clock() - maxAge
 	confirmed := func() bool {
-		at, ok := f.Confirmed()
+		at, ok := f.ConfirmedAt()
 		return ok && at >= oldest
 	}
 	if err := f.readToEndUnless(ctx, confirmed); err != nil {
@@ -345,10 +345,10 @@
 	}
 }
 
-// Look calls fn with the lock of the follower held, so that fn may read the state of the
+// View calls fn with the lock of the follower held, so that fn may read the state of the
 // sink. It passes the offset of the next record to apply and a channel that is closed at the
 // next change. It reports false, without calling fn, while nothing has been loaded.
-func (f *Follower) Look(fn func(end int64, changed <-chan struct{})) bool {
+func (f *Follower) View(fn func(end int64, changed <-chan struct{})) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.loaded {
@@ -358,9 +358,9 @@
 	return true
 }
 
-// Appended applies records that an append of this process wrote at offset at, without
+// ApplyAppended applies records that an append of this process wrote at offset at, without
 // waiting for the read that returns them. It sets the offsets in recs.
-func (f *Follower) Appended(recs []Record, at int64) {
+func (f *Follower) ApplyAppended(recs []Record, at int64) {
 	for i := range recs {
 		recs[i].Offset = at + int64(i)
 	}
--- a/store/follower_test.go
+++ b/store/follower_test.go
@@ -49,7 +49,7 @@
 }
 
 func startFollower(ctx context.Context, log store.Log, m *mirror) *store.Follower {
-	f := store.NewFollower(log, testPartition, m, store.FollowSettings{Wait: 2 * time.Second})
+	f := store.NewFollower(log, testPartition, m, store.FollowerConfig{Wait: 2 * time.Second})
 	go f.Run(ctx)
 	return f
 }
@@ -60,7 +60,7 @@
 }
 
 func state(f *store.Follower, m *mirror) (values map[string]string, misordered bool) {
-	f.Look(func(int64, <-chan struct{}) { values, misordered = maps.Clone(m.values), m.misordered })
+	f.View(func(int64, <-chan struct{}) { values, misordered = maps.Clone(m.values), m.misordered })
 	return values, misordered
 }
 
@@ -101,22 +101,22 @@
 func runSteps(ctx context.Context, steps []step) string {
 	s := sharedstore.New(1)
 	m := &mirror{}
-	f := startFollower(ctx, s.For("a"), m)
+	f := startFollower(ctx, s.ClientFor("a"), m)
 	want := make(map[string]string)
 	for i, st := range steps {
 		switch st.Kind {
 		case 0:
-			s.Forget(testPartition)
+			s.DropHistory(testPartition)
 		case 1:
 			s.SetFault("a", sharedstore.Refuse)
 		case 2:
-			s.SetFault("a", sharedstore.Silent)
+			s.SetFault("a", sharedstore.NoResponse)
 		case 3:
-			s.SetFault("a", sharedstore.None)
+			s.SetFault("a", sharedstore.NoFault)
 		case 4:
 			time.Sleep(time.Duration(st.Ms) * time.Millisecond)
 		case 5:
-			_ = f.Catch(ctx, 0) // may fail during a fault; the final comparison decides
+			_ = f.CatchUp(ctx, 0) // may fail during a fault; the final comparison decides
 		default:
 			key, value := fmt.Sprint("k", st.Key), fmt.Sprint("v", i)
 			if st.Drop {
@@ -128,7 +128,7 @@
 			s.Put(testPartition, key, []byte(value))
 		}
 	}
-	s.SetFault("a", sharedstore.None)
+	s.SetFault("a", sharedstore.NoFault)
 	time.Sleep(5 * time.Second)
 	got, misordered := state(f, m)
 	if misordered {
@@ -148,15 +148,15 @@
 		defer cancel()
 		s := sharedstore.New(1)
 		m := &mirror{}
-		f := store.NewFollower(s.For("a"), testPartition, m, store.FollowSettings{Wait: time.Hour})
+		f := store.NewFollower(s.ClientFor("a"), testPartition, m, store.FollowerConfig{Wait: time.Hour})
 		go f.Run(ctx)
 		time.Sleep(10 * time.Millisecond)
-		s.SetFault("a", sharedstore.Silent) // the pending read gets no answer
+		s.SetFault("a", sharedstore.NoResponse) // the pending read gets no answer
 		synctest.Wait()
 		s.Put(testPartition, "k", []byte("v"))
-		s.SetFault("a", sharedstore.None)
+		s.SetFault("a", sharedstore.NoFault)
 		time.Sleep(10 * time.Second)
-		if err := f.Catch(ctx, 300*time.Millisecond); err != nil {
+		if err := f.CatchUp(ctx, 300*time.Millisecond); err != nil {
 			t.Fatal(err)
 		}
 		if got := values(f, m)["k"]; got != "v" {
@@ -171,11 +171,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		s := sharedstore.New(1)
-		f := startFollower(ctx, s.For("a"), &mirror{})
+		f := startFollower(ctx, s.ClientFor("a"), &mirror{})
 		time.Sleep(10 * time.Millisecond)
 		s.SetFault("a", sharedstore.Refuse)
 		time.Sleep(3 * time.Second)
-		if err := f.Catch(ctx, 300*time.Millisecond); !errors.Is(err, store.ErrRefused) {
+		if err := f.CatchUp(ctx, 300*time.Millisecond); !errors.Is(err, store.ErrRefused) {
 			t.Fatalf("got error %v, want ErrRefused", err)
 		}
 	})
--- a/store/narrow_test.go
+++ b/store/narrow_test.go
@@ -66,18 +66,18 @@
 	const partitions = 40
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		link := &narrowLink{Client: sharedstore.New(partitions).For("a")}
+		link := &narrowLink{Client: sharedstore.New(partitions).ClientFor("a")}
 		client := store.NewFailover(link, func() []store.Peer { return []store.Peer{link, link} })
-		loads := store.NewLoads(2)
+		loads := store.NewLoadLimit(2)
 		var followers []*store.Follower
 		for n := range partitions {
-			f := store.NewFollower(client, store.Partition{Topic: "t", Number: n}, &mirror{}, store.FollowSettings{Wait: 2 * time.Second, Loads: loads})
+			f := store.NewFollower(client, store.Partition{Topic: "t", Number: n}, &mirror{}, store.FollowerConfig{Wait: 2 * time.Second, LoadLimit: loads})
 			go f.Run(ctx)
 			followers = append(followers, f)
 		}
 		time.Sleep(partitions * 2 * unsharedPageTime)
 		for n, f := range followers {
-			if !f.Look(func(int64, <-chan struct{}) {}) {
+			if !f.View(func(int64, <-chan struct{}) {}) {
 				t.Errorf("partition %d is not loaded", n)
 			}
 		}
@@ -93,11 +93,11 @@
 func TestConcurrentCallersShareLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		link := &narrowLink{Client: sharedstore.New(1).For("a")}
-		f := store.NewFollower(link, testPartition, &mirror{}, store.FollowSettings{Wait: time.Second})
+		link := &narrowLink{Client: sharedstore.New(1).ClientFor("a")}
+		f := store.NewFollower(link, testPartition, &mirror{}, store.FollowerConfig{Wait: time.Second})
 		go f.Run(ctx)
 		for range 5 {
-			go func() { _ = f.Catch(ctx, 0) }() // the call may time out; only the number of pages matters
+			go func() { _ = f.CatchUp(ctx, 0) }() // the call may time out; only the number of pages matters
 		}
 		time.Sleep(3 * time.Second)
 		if pages := link.readPages(); pages != 1 {
--- a/store/observed.go
+++ b/store/observed.go
@@ -7,17 +7,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Observed is a Client that reports the name, outcome and duration of each call
+// Instrumented is a Client that reports the name, outcome and duration of each call
 // to a callback.
-type Observed struct {
+type Instrumented struct {
 	client  Client
 	observe func(call, outcome string, took time.Duration)
 }
 
-// NewObserved returns a Client that forwards calls to client and reports each of them to
+// NewInstrumented returns a Client that forwards calls to client and reports each of them to
 // observe after it returns.
-func NewObserved(client Client, observe func(call, outcome string, took time.Duration)) *Observed {
-	return &Observed{client: client, observe: observe}
+func NewInstrumented(client Client, observe func(call, outcome string, took time.Duration)) *Instrumented {
+	return &Instrumented{client: client, observe: observe}
 }
 
 // outcome maps an error to its label in metrics.
@@ -39,12 +39,12 @@
 	return "no_answer"
 }
 
-func (o *Observed) record(call string, start time.Time, err error) {
+func (o *Instrumented) record(call string, start time.Time, err error) {
 	o.observe(call, outcome(err), time.Since(start))
 }
 
 // Append implements Log.
-func (o *Observed) Append(ctx context.Context, p Partition, recs []Record, at int64) (int64, error) {
+func (o *Instrumented) Append(ctx context.Context, p Partition, recs []Record, at int64) (int64, error) {
 	start := time.Now()
 	end, err := o.client.Append(ctx, p, recs, at)
 	o.record("append", start, err)
@@ -52,7 +52,7 @@
 }
 
 // Read implements Log.
-func (o *Observed) Read(ctx context.Context, p Partition, from int64, wait time.Duration) (Page, error) {
+func (o *Instrumented) Read(ctx context.Context, p Partition, from int64, wait time.Duration) (Page, error) {
 	start := time.Now()
 	page, err := o.client.Read(ctx, p, from, wait)
 	o.record("read", start, err)
@@ -60,7 +60,7 @@
 }
 
 // Newest implements Log.
-func (o *Observed) Newest(ctx context.Context, p Partition, after string) (Snapshot, error) {
+func (o *Instrumented) Newest(ctx context.Context, p Partition, after string) (Snapshot, error) {
 	start := time.Now()
 	snap, err := o.client.Newest(ctx, p, after)
 	o.record("newest", start, err)
@@ -68,7 +68,7 @@
 }
 
 // Join implements Groups.
-func (o *Observed) Join(ctx context.Context, req JoinRequest) (Membership, error) {
+func (o *Instrumented) Join(ctx context.Context, req JoinRequest) (Membership, error) {
 	start := time.Now()
 	m, err := o.client.Join(ctx, req)
 	o.record("join", start, err)
@@ -76,7 +76,7 @@
 }
 
 // Leave implements Groups.
-func (o *Observed) Leave(ctx context.Context, group, member string) error {
+func (o *Instrumented) Leave(ctx context.Context, group, member string) error {
 	start := time.Now()
 	err := o.client.Leave(ctx, group, member)
 	o.record("leave", start, err)
@@ -84,7 +84,7 @@
 }
 
 // Owners implements Groups.
-func (o *Observed) Owners(ctx context.Context, group string) ([]Owner, error) {
+func (o *Instrumented) Owners(ctx context.Context, group string) ([]Owner, error) {
 	start := time.Now()
 	owners, err := o.client.Owners(ctx, group)
 	o.record("owners", start, err)
--- a/store/pace.go
+++ b/store/pace.go
@@ -25,13 +25,13 @@
 	minBackoffInterval = 500 * time.Millisecond
 )
 
-// Pace limits the rate of the reads that a process makes for its callers, apart from the
+// ReadLimiter limits the rate of the reads that a process makes for its callers, apart from the
 // reads it needs itself. All processes share the store's rate and none knows how many they
 // are, so each process halves its own rate when the store refuses a read, and otherwise
 // raises it slowly (additive increase, multiplicative decrease). Without this limit, reads
 // for callers after an outage exceed the store's rate for as long as they continue, and the
 // store also refuses the processes that run the jobs.
-type Pace struct {
+type ReadLimiter struct {
 	limiter *rate.Limiter
 
 	mu          sync.Mutex
@@ -39,19 +39,19 @@
 	adjustedAt  time.Time // time of the last rate change
 }
 
-// NewPace returns a limiter that starts at the maximum rate.
-func NewPace() *Pace {
-	return &Pace{limiter: rate.NewLimiter(maxReadRate, maxReadRate/10)}
+// NewReadLimiter returns a limiter that starts at the maximum rate.
+func NewReadLimiter() *ReadLimiter {
+	return &ReadLimiter{limiter: rate.NewLimiter(maxReadRate, maxReadRate/10)}
 }
 
 // Rate returns the current limit in reads per second.
-func (p *Pace) Rate() float64 {
+func (p *ReadLimiter) Rate() float64 {
 	return float64(p.limiter.Limit())
 }
 
 // wait blocks until the rate limit permits a read. When that cannot happen before the
 // deadline of ctx, it fails at once with ErrRefused, as no call was made to the store.
-func (p *Pace) wait(ctx context.Context) error {
+func (p *ReadLimiter) wait(ctx context.Context) error {
 	if err := p.limiter.Wait(ctx); err != nil {
 		return errors.Mark(err, ErrRefused)
 	}
@@ -59,7 +59,7 @@
 }
 
 // observe adjusts the rate by the result of a read.
-func (p *Pace) observe(now time.Time, err error) {
+func (p *ReadLimiter) observe(now time.Time, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	limit := float64(p.limiter.Limit())
@@ -79,33 +79,33 @@
 	p.limiter.SetLimitAt(now, rate.Limit(limit))
 }
 
-// Paced is a Log that limits the rate of its reads.
-type Paced struct {
+// RateLimitedLog is a Log that limits the rate of its reads.
+type RateLimitedLog struct {
 	Log
-	Pace   *Pace
-	Urgent func() bool // reads are not limited while it returns true
+	Limiter *ReadLimiter
+	Exempt  func() bool // reads are not limited while it returns true
 }
 
 // Read implements Log.
-func (l Paced) Read(ctx context.Context, p Partition, from int64, wait time.Duration) (Page, error) {
+func (l RateLimitedLog) Read(ctx context.Context, p Partition, from int64, wait time.Duration) (Page, error) {
 	return limitReads(ctx, l, func() (Page, error) { return l.Log.Read(ctx, p, from, wait) })
 }
 
 // Newest implements Log.
-func (l Paced) Newest(ctx context.Context, p Partition, after string) (Snapshot, error) {
+func (l RateLimitedLog) Newest(ctx context.Context, p Partition, after string) (Snapshot, error) {
 	return limitReads(ctx, l, func() (Snapshot, error) { return l.Log.Newest(ctx, p, after) })
 }
 
 // limitReads makes a read, after waiting for the rate limit unless the log is exempt from it.
-func limitReads[T any](ctx context.Context, l Paced, read func() (T, error)) (T, error) {
-	if l.Urgent() {
+func limitReads[T any](ctx context.Context, l RateLimitedLog, read func() (T, error)) (T, error) {
+	if l.Exempt() {
 		return read()
 	}
-	if err := l.Pace.wait(ctx); err != nil {
+	if err := l.Limiter.wait(ctx); err != nil {
 		var zero T
 		return zero, err
 	}
 	result, err := read()
-	l.Pace.observe(time.Now(), err)
+	l.Limiter.observe(time.Now(), err)
 	return result, err
 }
--- a/store/pace_test.go
+++ b/store/pace_test.go
@@ -32,8 +32,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
 		s.Put(testPartition, "k", []byte("v"))
-		limiter := store.NewPace()
-		log := store.Paced{Log: s.For("a"), Pace: limiter, Urgent: func() bool { return false }}
+		limiter := store.NewReadLimiter()
+		log := store.RateLimitedLog{Log: s.ClientFor("a"), Limiter: limiter, Exempt: func() bool { return false }}
 		normal, refused := readRepeatedly(t.Context(), log, 10*time.Second)
 		if refused != 0 || normal < 500 || normal > 1500 {
 			t.Fatalf("without faults: %d reads served and %d refused in 10 s, want 500 to 1500 and 0", normal, refused)
@@ -47,7 +47,7 @@
 		if refused == 0 || refused > normal/5 {
 			t.Errorf("during refusals: %d reads in 10 s, %d without faults", refused, normal)
 		}
-		s.SetFault("a", sharedstore.None)
+		s.SetFault("a", sharedstore.NoFault)
 		readRepeatedly(t.Context(), log, 15*time.Second)
 		if recovered, _ := readRepeatedly(t.Context(), log, 10*time.Second); recovered < normal*9/10 {
 			t.Errorf("after recovery: %d reads served in 10 s, %d before the fault", recovered, normal)
@@ -61,12 +61,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
 		s.Put(testPartition, "k", []byte("v"))
-		limiter := store.NewPace()
-		callers := store.Paced{Log: s.For("a"), Pace: limiter, Urgent: func() bool { return false }}
-		own := store.Paced{Log: s.For("a"), Pace: limiter, Urgent: func() bool { return true }}
+		limiter := store.NewReadLimiter()
+		callers := store.RateLimitedLog{Log: s.ClientFor("a"), Limiter: limiter, Exempt: func() bool { return false }}
+		own := store.RateLimitedLog{Log: s.ClientFor("a"), Limiter: limiter, Exempt: func() bool { return true }}
 		s.SetFault("a", sharedstore.Refuse)
 		readRepeatedly(t.Context(), callers, 5*time.Second)
-		s.SetFault("a", sharedstore.None)
+		s.SetFault("a", sharedstore.NoFault)
 		start := time.Now()
 		for range 1000 {
 			if _, err := own.Read(t.Context(), testPartition, 0, 0); err != nil {
@@ -84,17 +84,17 @@
 func TestReadBeyondDeadlineFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
-		log := store.Paced{Log: s.For("a"), Pace: store.NewPace(), Urgent: func() bool { return false }}
+		log := store.RateLimitedLog{Log: s.ClientFor("a"), Limiter: store.NewReadLimiter(), Exempt: func() bool { return false }}
 		s.SetFault("a", sharedstore.Refuse)
 		readRepeatedly(t.Context(), log, 5*time.Second)
-		start, calls := time.Now(), s.Calls()
+		start, calls := time.Now(), s.CallCount()
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
 		if _, err := log.Newest(ctx, testPartition, ""); !errors.Is(err, store.ErrRefused) {
 			t.Errorf("got error %v, want ErrRefused", err)
 		}
-		if took := time.Since(start); took > 0 || s.Calls() != calls {
-			t.Errorf("failed after %s and %d calls, want at once and none", took, s.Calls()-calls)
+		if took := time.Since(start); took > 0 || s.CallCount() != calls {
+			t.Errorf("failed after %s and %d calls, want at once and none", took, s.CallCount()-calls)
 		}
 	})
 }
@@ -112,9 +112,9 @@
 		}{
 			{map[string]sharedstore.Fault{"a": sharedstore.Refuse}, false},
 			{map[string]sharedstore.Fault{"b": sharedstore.Refuse, "c": sharedstore.Refuse}, true},
-			{map[string]sharedstore.Fault{"c": sharedstore.None}, false},
+			{map[string]sharedstore.Fault{"c": sharedstore.NoFault}, false},
 			{map[string]sharedstore.Fault{"c": sharedstore.Refuse}, true},
-			{map[string]sharedstore.Fault{"a": sharedstore.None}, false},
+			{map[string]sharedstore.Fault{"a": sharedstore.NoFault}, false},
 		} {
 			for host, fault := range tc.faults {
 				s.SetFault(host, fault)
@@ -122,8 +122,8 @@
 			time.Sleep(2 * time.Second)
 			read()
 			read()
-			if f.Away() != tc.unreachable {
-				t.Errorf("after %v: got unreachable %t", tc.faults, f.Away())
+			if f.Unreachable() != tc.unreachable {
+				t.Errorf("after %v: got unreachable %t", tc.faults, f.Unreachable())
 			}
 		}
 	})
--- a/store/store.go
+++ b/store/store.go
@@ -19,10 +19,10 @@
 	Number int
 }
 
-// Spread returns up to count partitions of a topic with the given number of parts, as
+// SpreadPartitions returns up to count partitions of a topic with the given number of parts, as
 // far apart as possible, so that data copied to each of them stays available while some
 // partitions are unavailable.
-func Spread(topic string, parts, count int) []Partition {
+func SpreadPartitions(topic string, parts, count int) []Partition {
 	var out []Partition
 	for i := range min(count, parts) {
 		out = append(out, Partition{Topic: topic, Number: i * parts / count})
--- a/targets/targets.go
+++ b/targets/targets.go
@@ -11,29 +11,29 @@
 // Instance is a target as registered. A target that restarts may keep its ID; it then has
 // no state from before and its sequence numbers start again.
 type Instance struct {
-	ID         string
-	Born       int64 // start time in Unix milliseconds; 0 if unknown
-	Service    string
-	Addr       string // IP and port
-	DataCentre string
-	Slots      int // maximum number of requests running at the same time
-	Draining   bool
+	ID            string
+	StartedUnixMs int64 // start time in Unix milliseconds; 0 if unknown
+	Service       string
+	Addr          string // IP and port
+	DataCentre    string
+	Slots         int // maximum number of requests running at the same time
+	Draining      bool
 	// Superseded says that another instance has registered at the same address since.
 	// This instance no longer runs, even if its registration still exists.
 	Superseded bool
 	Seq        int64 // sequence number of the registration; rises when more than a heartbeat changes
 }
 
-// Life identifies one incarnation of an instance. Connections, failures and draining of an
+// Incarnation identifies one incarnation of an instance. Connections, failures and draining of an
 // earlier incarnation do not apply to a later one.
-type Life struct {
-	ID   string
-	Born int64
+type Incarnation struct {
+	ID            string
+	StartedUnixMs int64
 }
 
-// Life returns the incarnation of the instance.
-func (in Instance) Life() Life {
-	return Life{in.ID, in.Born}
+// Incarnation returns the incarnation of the instance.
+func (in Instance) Incarnation() Incarnation {
+	return Incarnation{in.ID, in.StartedUnixMs}
 }
 
 // outageGrace is how long an instance is kept whose registration expired around a registry
@@ -61,10 +61,10 @@
 // or sent by a peer, is ignored.
 func (s *Set) Put(in Instance) {
 	if old := s.byID[in.ID]; old != nil {
-		if in.Born < old.Born {
+		if in.StartedUnixMs < old.StartedUnixMs {
 			return
 		}
-		if in.Born == old.Born {
+		if in.StartedUnixMs == old.StartedUnixMs {
 			if in.Seq < old.Seq {
 				delete(s.expired, in.ID)
 				return
@@ -77,10 +77,10 @@
 	s.byID[in.ID] = &in
 }
 
-// Renews reports whether a registration is a plain heartbeat, which changes nothing except
+// IsHeartbeat reports whether a registration is a plain heartbeat, which changes nothing except
 // that its instance is still alive. Without changes in the fleet all registrations are
 // heartbeats.
-func (s *Set) Renews(in Instance) bool {
+func (s *Set) IsHeartbeat(in Instance) bool {
 	old := s.byID[in.ID]
 	if old == nil || in.Seq < old.Seq || s.addrOwner[in.Addr] != in.ID {
 		return false
@@ -149,13 +149,13 @@
 	}
 }
 
-// Away records that the registry does not respond.
-func (s *Set) Away() {
+// RegistryDown records that the registry does not respond.
+func (s *Set) RegistryDown() {
 	s.registryDown = true
 }
 
-// Back records that the registry responds again.
-func (s *Set) Back(now time.Time) {
+// RegistryUp records that the registry responds again.
+func (s *Set) RegistryUp(now time.Time) {
 	if s.registryDown {
 		s.registryDown = false
 		s.outageEnd = now
@@ -179,8 +179,8 @@
 	return removed
 }
 
-// Lapsing returns the number of instances that are kept without a registration.
-func (s *Set) Lapsing() int {
+// PendingExpiry returns the number of instances that are kept without a registration.
+func (s *Set) PendingExpiry() int {
 	return len(s.expired)
 }
 
--- a/targets/targets_test.go
+++ b/targets/targets_test.go
@@ -71,8 +71,8 @@
 	s := targets.NewSet()
 	s.Put(in("back", "1:1", 1))
 	s.Put(in("gone", "1:2", 1))
-	s.Away()
-	s.Back(start)
+	s.RegistryDown()
+	s.RegistryUp(start)
 	s.Drop(start.Add(100*time.Millisecond), "back")
 	s.Drop(start.Add(100*time.Millisecond), "gone")
 	if got := s.Expire(start.Add(time.Second)); len(got) != 0 || len(s.All()) != 2 {
@@ -96,8 +96,8 @@
 	if s.Get("a") != nil {
 		t.Fatal("the target is still there after its registration ended")
 	}
-	s.Away()
-	s.Back(start)
+	s.RegistryDown()
+	s.RegistryUp(start)
 	s.Put(in("b", "1:1", 1))
 	s.Drop(start.Add(3*time.Second), "b")
 	if s.Get("b") != nil {
@@ -117,7 +117,7 @@
 
 func incarnation(addr string, seq, at int64) targets.Instance {
 	i := in("a", addr, seq)
-	i.Born = at
+	i.StartedUnixMs = at
 	return i
 }
 
@@ -146,7 +146,7 @@
 	old.Draining = true
 	s.Put(old)
 	s.Replace(start, []targets.Instance{old})
-	if got := s.Get("a"); got == nil || got.Draining || got.Addr != "1:2" || got.Born != 2000 {
+	if got := s.Get("a"); got == nil || got.Draining || got.Addr != "1:2" || got.StartedUnixMs != 2000 {
 		t.Fatalf("got %+v, want the later incarnation at 1:2", got)
 	}
 }
@@ -167,7 +167,7 @@
 		"older":           {put: func() targets.Instance { return in(id, addr, 4) }},
 		"unknown":         {put: func() targets.Instance { return in("b", "2:2", 1) }},
 		"other address":   {put: func() targets.Instance { return in(id, "2:2", 6) }},
-		"started again":   {put: func() targets.Instance { x := in(id, addr, 6); x.Born = 9; return x }},
+		"started again":   {put: func() targets.Instance { x := in(id, addr, 6); x.StartedUnixMs = 9; return x }},
 		"starts draining": {put: func() targets.Instance { x := in(id, addr, 6); x.Draining = true; return x }},
 		"is already draining": {
 			prepare: func(s *targets.Set) { x := in(id, addr, 5); x.Draining = true; s.Put(x) },
@@ -178,7 +178,7 @@
 			put:     func() targets.Instance { return in(id, addr, 6) },
 		},
 		"expired during an outage": {
-			prepare: func(s *targets.Set) { s.Away(); s.Drop(start, id) },
+			prepare: func(s *targets.Set) { s.RegistryDown(); s.Drop(start, id) },
 			put:     func() targets.Instance { return in(id, addr, 6) },
 		},
 	}
@@ -188,7 +188,7 @@
 		if c.prepare != nil {
 			c.prepare(s)
 		}
-		if got := s.Renews(c.put()); got != c.want {
+		if got := s.IsHeartbeat(c.put()); got != c.want {
 			t.Errorf("%s: got %v", name, got)
 		}
 	}
