--- a/agent/feed.go
+++ b/agent/feed.go
@@ -95,7 +95,7 @@
 
 func (a *Agent) readFeed(f *feed, st *link.Stream) {
 	for {
-		m := &wire.FeedDown{}
+		m := &wire.OwnerUpdate{}
 		if st.Recv(m) != nil {
 			return
 		}
@@ -106,7 +106,7 @@
 
 // applyFeedDown applies one message of an owner. It applies the epochs first, so that
 // it refuses grants and cancels of a superseded owner.
-func (a *Agent) applyFeedDown(f *feed, m *wire.FeedDown) {
+func (a *Agent) applyFeedDown(f *feed, m *wire.OwnerUpdate) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
@@ -188,10 +188,10 @@
 }
 
 // nextFeedUp builds the next message to an owner and clears what it reports.
-func (a *Agent) nextFeedUp(f *feed) *wire.FeedUp {
+func (a *Agent) nextFeedUp(f *feed) *wire.AgentUpdate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	up := &wire.FeedUp{
+	up := &wire.AgentUpdate{
 		Results: f.results,
 		Started: f.started,
 		Models:  a.models,
@@ -214,7 +214,7 @@
 
 // declarePartitions lists all items held of partitions that have a new owner, so that
 // the owner does not run again elsewhere what is running or finished here.
-func (a *Agent) declarePartitions(f *feed, up *wire.FeedUp) {
+func (a *Agent) declarePartitions(f *feed, up *wire.AgentUpdate) {
 	for _, number := range f.undeclared {
 		p := a.partitions[number]
 		if p == nil || p.feed != f {
@@ -239,7 +239,7 @@
 }
 
 // confirmStopped lists the cancelled jobs of which no item runs here any more.
-func (a *Agent) confirmStopped(f *feed, up *wire.FeedUp) {
+func (a *Agent) confirmStopped(f *feed, up *wire.AgentUpdate) {
 	for job, ref := range f.cancelling {
 		running := false
 		for id, it := range a.items {
--- a/bench/ledger.go
+++ b/bench/ledger.go
@@ -77,7 +77,7 @@
 // instantAgent returns a result for every grant at once or at a fixed rate. It
 // implements ledger.AgentStream.
 type instantAgent struct {
-	up     chan *wire.FeedUp
+	up     chan *wire.AgentUpdate
 	done   chan struct{}
 	once   sync.Once
 	rate   float64 // items a second, 0 sets no limit
@@ -88,12 +88,12 @@
 }
 
 func newInstantAgent(pace float64) *instantAgent {
-	return &instantAgent{up: make(chan *wire.FeedUp, 1024), done: make(chan struct{}), rate: pace, result: make([]byte, ledgerResult)}
+	return &instantAgent{up: make(chan *wire.AgentUpdate, 1024), done: make(chan struct{}), rate: pace, result: make([]byte, ledgerResult)}
 }
 
 // Send implements ledger.AgentStream.
-func (a *instantAgent) Send(m *wire.FeedDown) error {
-	up := &wire.FeedUp{Models: []string{benchModel}}
+func (a *instantAgent) Send(m *wire.OwnerUpdate) error {
+	up := &wire.AgentUpdate{Models: []string{benchModel}}
 	if !a.declared {
 		a.declared = true
 		for _, pe := range m.GetEpochs() {
@@ -118,7 +118,7 @@
 }
 
 // Recv implements ledger.AgentStream.
-func (a *instantAgent) Recv(m *wire.FeedUp) error {
+func (a *instantAgent) Recv(m *wire.AgentUpdate) error {
 	select {
 	case up := <-a.up:
 		proto.Merge(m, up)
--- a/entry/hosts.go
+++ b/entry/hosts.go
@@ -197,9 +197,9 @@
 	st *link.Stream
 }
 
-func (f feedStream) Send(m *wire.FeedDown) error { return f.st.Send(m) }
-func (f feedStream) Recv(m *wire.FeedUp) error   { return f.st.Recv(m) }
-func (f feedStream) Close()                      { f.st.Close() }
+func (f feedStream) Send(m *wire.OwnerUpdate) error { return f.st.Send(m) }
+func (f feedStream) Recv(m *wire.AgentUpdate) error { return f.st.Recv(m) }
+func (f feedStream) Close()                         { f.st.Close() }
 
 // fetchConfig asks the other entries for config records from offset from on, and
 // returns the reply that reaches furthest. Entries that do not answer are
--- a/jobroute/jobroute.go
+++ b/jobroute/jobroute.go
@@ -270,7 +270,7 @@
 
 // Results implements Service.
 func (r *Router) Results(ctx context.Context, id string, from int, wait time.Duration) (jobstore.Results, error) {
-	read := &wire.JobRead{Job: id, From: uint32(from), WaitMs: uint32(wait.Milliseconds())}
+	read := &wire.JobResultsRequest{Job: id, From: uint32(from), WaitMs: uint32(wait.Milliseconds())}
 	reply, _, ok := r.forward(ctx, id, wait+callTimeout, &wire.JobCall{Kind: &wire.JobCall_Read{Read: read}})
 	if ok {
 		return decodeResults(reply), decodeError(reply)
@@ -283,7 +283,7 @@
 
 // Body implements Service.
 func (r *Router) Body(ctx context.Context, id, item string) ([]byte, error) {
-	body := &wire.JobBody{Job: id, Item: item}
+	body := &wire.ItemBodyRequest{Job: id, Item: item}
 	reply, _, ok := r.forward(ctx, id, callTimeout, &wire.JobCall{Kind: &wire.JobCall_Body{Body: body}})
 	if ok {
 		return reply.GetBody(), decodeError(reply)
--- a/ledger/feed.go
+++ b/ledger/feed.go
@@ -18,8 +18,8 @@
 // AgentStream is one batch stream to an agent. Close may be called concurrently with
 // Send and Recv, and makes both fail.
 type AgentStream interface {
-	Send(m *wire.FeedDown) error
-	Recv(m *wire.FeedUp) error
+	Send(m *wire.OwnerUpdate) error
+	Recv(m *wire.AgentUpdate) error
 	Close()
 }
 
@@ -31,7 +31,7 @@
 	stream AgentStream
 
 	mu        sync.Mutex
-	outgoing  *wire.FeedDown
+	outgoing  *wire.OwnerUpdate
 	wakeup    chan struct{}
 	closed    chan struct{}
 	closeOnce sync.Once
@@ -54,7 +54,7 @@
 		owner:    o,
 		agent:    agent,
 		stream:   stream,
-		outgoing: &wire.FeedDown{},
+		outgoing: &wire.OwnerUpdate{},
 		wakeup:   make(chan struct{}, 1),
 		closed:   make(chan struct{}),
 	}
@@ -161,18 +161,18 @@
 }
 
 // takeOutgoing returns the queued notices and clears the queue.
-func (f *feed) takeOutgoing() *wire.FeedDown {
+func (f *feed) takeOutgoing() *wire.OwnerUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.outgoing
-	f.outgoing = &wire.FeedDown{}
+	f.outgoing = &wire.OwnerUpdate{}
 	return m
 }
 
 // addEpoch adds the owner's epoch and backlog to a message. It reports false
 // when this node no longer owns the partition. Then nothing more may be sent,
 // because every message renews the agent's lease from this owner.
-func (o *Owner) addEpoch(m *wire.FeedDown) bool {
+func (o *Owner) addEpoch(m *wire.OwnerUpdate) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.owned() || o.closed {
@@ -191,7 +191,7 @@
 func (f *feed) recvLoop() {
 	defer f.close()
 	for {
-		m := &wire.FeedUp{}
+		m := &wire.AgentUpdate{}
 		if f.stream.Recv(m) != nil {
 			return
 		}
@@ -212,7 +212,7 @@
 }
 
 // handleMessage applies one message from an agent.
-func (o *Owner) handleMessage(f *feed, m *wire.FeedUp) {
+func (o *Owner) handleMessage(f *feed, m *wire.AgentUpdate) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.owned() || o.feeds[f.agent] != f {
@@ -233,7 +233,7 @@
 
 // handleItems applies the starts, results and returned items of a message.
 // Owner.mu must be held.
-func (o *Owner) handleItems(f *feed, m *wire.FeedUp) {
+func (o *Owner) handleItems(f *feed, m *wire.AgentUpdate) {
 	for _, ref := range m.GetStarted() {
 		if key, ok := o.ownItemKey(ref); ok {
 			o.dispatcher.MarkStarted(key, f.agent)
@@ -262,7 +262,7 @@
 // It adopts held items. Granted items that the agent does not hold were lost on
 // the way or with an earlier run of the agent, and are queued again. Owner.mu
 // must be held.
-func (o *Owner) reconcileHeld(f *feed, m *wire.FeedUp) {
+func (o *Owner) reconcileHeld(f *feed, m *wire.AgentUpdate) {
 	declared := false
 	for _, p := range m.GetDeclared() {
 		declared = declared || p == o.number
--- a/ledger/owner_test.go
+++ b/ledger/owner_test.go
@@ -18,18 +18,18 @@
 // fakeAgent completes every grant immediately. Its results have no custom_id, so
 // that the owner has to add it.
 type fakeAgent struct {
-	up       chan *wire.FeedUp
+	up       chan *wire.AgentUpdate
 	done     chan struct{}
 	once     sync.Once
 	declared bool
 }
 
 func newFakeAgent() *fakeAgent {
-	return &fakeAgent{up: make(chan *wire.FeedUp, 1024), done: make(chan struct{})}
+	return &fakeAgent{up: make(chan *wire.AgentUpdate, 1024), done: make(chan struct{})}
 }
 
-func (a *fakeAgent) Send(m *wire.FeedDown) error {
-	up := &wire.FeedUp{Models: []string{"m"}, Want: proto.Uint32(256)}
+func (a *fakeAgent) Send(m *wire.OwnerUpdate) error {
+	up := &wire.AgentUpdate{Models: []string{"m"}, Want: proto.Uint32(256)}
 	if !a.declared {
 		a.declared = true
 		up.Declared = []uint32{0}
@@ -45,7 +45,7 @@
 	}
 }
 
-func (a *fakeAgent) Recv(m *wire.FeedUp) error {
+func (a *fakeAgent) Recv(m *wire.AgentUpdate) error {
 	select {
 	case up := <-a.up:
 		proto.Merge(m, up)
--- a/peers/grants.go
+++ b/peers/grants.go
@@ -52,7 +52,7 @@
 
 // RequestGrants implements ratelimit.GrantClient.
 func (g *GrantClient) RequestGrants(ctx context.Context, addr string, req ratelimit.GrantRequest) ratelimit.GrantReply {
-	r, err := g.call(ctx, addr, &wire.GrantAsk{
+	r, err := g.call(ctx, addr, &wire.GrantRequest{
 		Workspace: req.Limit.Workspace, Version: req.Limit.Version, Rate: req.Limit.Rate, Burst: req.Limit.Burst,
 		Share: uint32(req.Share), Want: uint32(req.Want), Unused: uint32(req.Unused),
 	})
@@ -73,12 +73,12 @@
 // Acts asks the process at addr whether it acts for a shard. answered is false when the
 // process gives no answer.
 func (g *GrantClient) Acts(ctx context.Context, addr string, shard int) (acts, answered bool) {
-	r, err := g.call(ctx, addr, &wire.GrantAsk{Shard: uint32(shard)})
+	r, err := g.call(ctx, addr, &wire.GrantRequest{Shard: uint32(shard)})
 	return err == nil && r.GetOutcome() == wire.GrantReply_GRANTED, err == nil
 }
 
 // call sends one request over the session with addr.
-func (g *GrantClient) call(ctx context.Context, addr string, req *wire.GrantAsk) (*wire.GrantReply, error) {
+func (g *GrantClient) call(ctx context.Context, addr string, req *wire.GrantRequest) (*wire.GrantReply, error) {
 	start := time.Now()
 	s := g.session(addr)
 	r := &wire.GrantReply{}
@@ -148,7 +148,7 @@
 
 // grant answers a request for a rate-limit grant or, if it names no workspace, a query
 // whether this process acts for a shard.
-func (s *Server) grant(req *wire.GrantAsk) *wire.GrantReply {
+func (s *Server) grant(req *wire.GrantRequest) *wire.GrantReply {
 	if req.GetWorkspace() == "" {
 		if _, ok := s.ActingSince(int(req.GetShard())); ok {
 			return &wire.GrantReply{Outcome: wire.GrantReply_GRANTED}
--- a/quarantine/archive.go
+++ b/quarantine/archive.go
@@ -128,7 +128,7 @@
 	}
 	rep.loaded = true
 	for _, rec := range all.Records {
-		stored := &wire.Marks{}
+		stored := &wire.CrashMarks{}
 		key, err := ParseKey(rec.Key)
 		if err == nil {
 			err = proto.Unmarshal(rec.Value, stored)
--- a/quarantine/spread.go
+++ b/quarantine/spread.go
@@ -26,7 +26,7 @@
 // relay the marks.
 func Follow(ctx context.Context, peer *link.Peer, tr *Tracker) {
 	for ctx.Err() == nil {
-		st, err := peer.Open(ctx, link.Control, &wire.Call{Kind: &wire.Call_Marks{Marks: &wire.Marks{}}})
+		st, err := peer.Open(ctx, link.Control, &wire.Call{Kind: &wire.Call_Marks{Marks: &wire.CrashMarks{}}})
 		if err == nil { // the link logs failed connections
 			tr.Exchange(ctx, st)
 		}
@@ -45,7 +45,7 @@
 	go func() {
 		defer cancel()
 		for {
-			received := &wire.Marks{}
+			received := &wire.CrashMarks{}
 			if st.Recv(received) != nil {
 				return
 			}
@@ -71,10 +71,10 @@
 	}
 }
 
-func toWire(marks []Mark) *wire.Marks {
-	out := &wire.Marks{}
+func toWire(marks []Mark) *wire.CrashMarks {
+	out := &wire.CrashMarks{}
 	for _, m := range marks {
-		out.Marks = append(out.Marks, &wire.Mark{
+		out.Marks = append(out.Marks, &wire.CrashMark{
 			Key: m.Key[:], Instance: m.Target.ID, Born: m.Target.StartedUnixMs, AtUnixMs: m.At.UnixMilli(), Answered: m.Answered, Void: m.Void,
 		})
 	}
@@ -82,7 +82,7 @@
 }
 
 // fromWire converts received marks. It drops marks without a valid key.
-func fromWire(all *wire.Marks) []Mark {
+func fromWire(all *wire.CrashMarks) []Mark {
 	var out []Mark
 	for _, m := range all.GetMarks() {
 		if len(m.GetKey()) != len(Key{}) {
