--- a/apierr/apierr.go
+++ b/apierr/apierr.go
@@ -1,5 +1,5 @@
-// Package apierr defines the typed failures that callers and operators see.
-// Each has a stable code, an HTTP status and a statement of whether the request
+// Package apierr defines the typed errors of the API for callers and operators.
+// Each has a stable code, an HTTP status and an indication of whether the request
 // was executed.
 package apierr
 
@@ -13,41 +13,41 @@
 	"pumiceford/wire"
 )
 
-// Code is a stable, machine-readable name of a failure.
+// Code is a stable, machine-readable error code.
 type Code string
 
-// The codes. They are part of the callers' interface and never change meaning.
+// Error codes. They are part of the API and never change meaning.
 const (
-	CodeBadRequest       Code = "bad_request"
-	CodeTooLarge         Code = "too_large"
-	CodeUnauthorized     Code = "unauthorized"
-	CodeForbidden        Code = "forbidden"
-	CodeNotFound         Code = "not_found"
-	CodeUnknownModel     Code = "model_not_found"
-	CodeKeyConflict      Code = "idempotency_conflict"
-	CodePlanConflict     Code = "plan_conflict"
-	CodeRateLimited      Code = "rate_limited"
-	CodeOverloaded       Code = "overloaded"
-	CodeNotRun           Code = "not_run"
-	CodeOutcomeUnknown   Code = "outcome_unknown"
-	CodeDeadline         Code = "deadline_exceeded"
-	CodeLogDown          Code = "log_unavailable"
-	CodeNoTarget         Code = "no_target"
-	CodeLeaving          Code = "leaving"
-	CodeEngine           Code = "engine_failed"
-	CodeWrongIncarnation Code = "wrong_incarnation"
-	CodeUnknownRequest   Code = "unknown_request"
-	CodeNotOwner         Code = "not_owner"
-	CodeCancelled        Code = "cancelled"
-	CodeInternal         Code = "internal"
+	CodeBadRequest          Code = "bad_request"
+	CodeTooLarge            Code = "too_large"
+	CodeUnauthorized        Code = "unauthorized"
+	CodeForbidden           Code = "forbidden"
+	CodeNotFound            Code = "not_found"
+	CodeModelNotFound       Code = "model_not_found"
+	CodeIdempotencyConflict Code = "idempotency_conflict"
+	CodePlanConflict        Code = "plan_conflict"
+	CodeRateLimited         Code = "rate_limited"
+	CodeOverloaded          Code = "overloaded"
+	CodeNotRun              Code = "not_run"
+	CodeOutcomeUnknown      Code = "outcome_unknown"
+	CodeDeadlineExceeded    Code = "deadline_exceeded"
+	CodeLogUnavailable      Code = "log_unavailable"
+	CodeNoTarget            Code = "no_target"
+	CodeLeaving             Code = "leaving"
+	CodeEngineFailed        Code = "engine_failed"
+	CodeWrongIncarnation    Code = "wrong_incarnation"
+	CodeUnknownRequest      Code = "unknown_request"
+	CodeNotOwner            Code = "not_owner"
+	CodeCancelled           Code = "cancelled"
+	CodeInternal            Code = "internal"
 )
 
-// Error is a failure with its code and whether the request ran.
+// Error is an API error with its code and whether the request was executed.
 type Error struct {
 	Code       Code
 	Message    string
 	Ran        wire.Ran
-	RetryAfter time.Duration // zero when coming back does not help
+	RetryAfter time.Duration // zero if retrying does not help
 }
 
 // Error implements error.
@@ -60,8 +60,8 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...), Ran: wire.Ran_RAN_NO}
 }
 
-// Unknown returns an Error for a request that may have been executed.
-func Unknown(code Code, format string, args ...any) *Error {
+// MaybeExecuted returns an Error for a request that may have been executed.
+func MaybeExecuted(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...), Ran: wire.Ran_RAN_UNKNOWN}
 }
 
@@ -70,15 +70,15 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...), Ran: wire.Ran_RAN_YES}
 }
 
-// After returns a copy of e that tells the caller when to come back.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e that tells the caller to retry after d.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	out := *e
 	out.RetryAfter = d
 	return &out
 }
 
-// From finds the Error inside err. Any other failure becomes CodeInternal with
-// an unknown outcome, because nothing is known about it.
+// From returns the Error in the chain of err, or nil for nil. Any other error becomes
+// CodeInternal with an unknown outcome, since it may have come before or after execution.
 func From(err error) *Error {
 	if err == nil {
 		return nil
@@ -87,38 +87,38 @@
 	if errors.As(err, &e) {
 		return e
 	}
-	return Unknown(CodeInternal, "%v", err)
+	return MaybeExecuted(CodeInternal, "%v", err)
 }
 
-// Is reports whether err carries code.
+// Is reports whether the chain of err contains an Error with code.
 func Is(err error, code Code) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Code == code
 }
 
 var statusByCode = map[Code]int{
-	CodeBadRequest:       http.StatusBadRequest,
-	CodeTooLarge:         http.StatusRequestEntityTooLarge,
-	CodeUnauthorized:     http.StatusUnauthorized,
-	CodeForbidden:        http.StatusForbidden,
-	CodeNotFound:         http.StatusNotFound,
-	CodeUnknownModel:     http.StatusNotFound,
-	CodeKeyConflict:      http.StatusConflict,
-	CodePlanConflict:     http.StatusConflict,
-	CodeRateLimited:      http.StatusTooManyRequests,
-	CodeOverloaded:       http.StatusServiceUnavailable,
-	CodeNotRun:           http.StatusServiceUnavailable,
-	CodeOutcomeUnknown:   http.StatusBadGateway,
-	CodeDeadline:         http.StatusGatewayTimeout,
-	CodeLogDown:          http.StatusServiceUnavailable,
-	CodeNoTarget:         http.StatusServiceUnavailable,
-	CodeLeaving:          http.StatusServiceUnavailable,
-	CodeEngine:           http.StatusBadGateway,
-	CodeWrongIncarnation: http.StatusServiceUnavailable,
-	CodeUnknownRequest:   http.StatusNotFound,
-	CodeNotOwner:         http.StatusServiceUnavailable,
-	CodeCancelled:        http.StatusConflict,
-	CodeInternal:         http.StatusInternalServerError,
+	CodeBadRequest:          http.StatusBadRequest,
+	CodeTooLarge:            http.StatusRequestEntityTooLarge,
+	CodeUnauthorized:        http.StatusUnauthorized,
+	CodeForbidden:           http.StatusForbidden,
+	CodeNotFound:            http.StatusNotFound,
+	CodeModelNotFound:       http.StatusNotFound,
+	CodeIdempotencyConflict: http.StatusConflict,
+	CodePlanConflict:        http.StatusConflict,
+	CodeRateLimited:         http.StatusTooManyRequests,
+	CodeOverloaded:          http.StatusServiceUnavailable,
+	CodeNotRun:              http.StatusServiceUnavailable,
+	CodeOutcomeUnknown:      http.StatusBadGateway,
+	CodeDeadlineExceeded:    http.StatusGatewayTimeout,
+	CodeLogUnavailable:      http.StatusServiceUnavailable,
+	CodeNoTarget:            http.StatusServiceUnavailable,
+	CodeLeaving:             http.StatusServiceUnavailable,
+	CodeEngineFailed:        http.StatusBadGateway,
+	CodeWrongIncarnation:    http.StatusServiceUnavailable,
+	CodeUnknownRequest:      http.StatusNotFound,
+	CodeNotOwner:            http.StatusServiceUnavailable,
+	CodeCancelled:           http.StatusConflict,
+	CodeInternal:            http.StatusInternalServerError,
 }
 
 // Status returns the HTTP status of e.
@@ -129,7 +129,7 @@
 	return http.StatusInternalServerError
 }
 
-// ToWire converts e for a stream between our processes.
+// ToWire converts e for transmission to another process.
 func (e *Error) ToWire() *wire.Failure {
 	return &wire.Failure{
 		Code:         string(e.Code),
@@ -139,7 +139,7 @@
 	}
 }
 
-// FromWire converts a failure received from another process.
+// FromWire converts an error received from another process.
 func FromWire(f *wire.Failure) *Error {
 	return &Error{
 		Code:       Code(f.GetCode()),
--- a/cmd/pumice-agent/main.go
+++ b/cmd/pumice-agent/main.go
@@ -1,4 +1,4 @@
-// Command pumice-agent runs one agent with a settings file.
+// Command pumice-agent runs one agent from a settings file.
 package main
 
 import (
@@ -22,11 +22,11 @@
 	var a args
 	arg.MustParse(&a)
 	var set settings.Agent
-	daemon.Exit(os.Stderr, func() error {
+	daemon.Main(os.Stderr, func() error {
 		if err := settings.Load(a.Settings, &set); err != nil {
 			return err
 		}
-		stop, cancel := daemon.Signals()
+		stop, cancel := daemon.StopContext()
 		defer cancel()
 		return daemon.RunAgent(stop, &set)
 	})
--- a/cmd/pumice-standin/main.go
+++ b/cmd/pumice-standin/main.go
@@ -1,4 +1,5 @@
-// Command pumice-standin runs stand-ins for the outside systems with a settings file.
+// Command pumice-standin runs stand-ins for the external systems (platform, engines
+// and services) from a settings file.
 package main
 
 import (
@@ -22,11 +23,11 @@
 	var a args
 	arg.MustParse(&a)
 	var set settings.Standin
-	daemon.Exit(os.Stderr, func() error {
+	daemon.Main(os.Stderr, func() error {
 		if err := settings.Load(a.Settings, &set); err != nil {
 			return err
 		}
-		stop, cancel := daemon.Signals()
+		stop, cancel := daemon.StopContext()
 		defer cancel()
 		return daemon.RunStandin(stop, &set)
 	})
--- a/entry/api.go
+++ b/entry/api.go
@@ -22,27 +22,27 @@
 	"pumiceford/wire"
 )
 
-// Bounds of callers' requests.
+// Limits of callers' requests.
 const (
-	MaxCallerBody    = 256 << 20 // a batch file; other bodies are bounded by MaxPromptBytes
-	MaxPromptBytes   = 1 << 20
-	MaxKeyBytes      = 256
-	defaultTimeout   = 60 * time.Second
-	defaultMaxTokens = 64
+	MaxCallerBodyBytes = 256 << 20 // bytes, for a batch file; MaxPromptBytes limits other bodies
+	MaxPromptBytes     = 1 << 20
+	MaxKeyBytes        = 256
+	defaultTimeout     = 60 * time.Second
+	defaultMaxTokens   = 64
 )
 
 // Headers of the callers' interface.
 const (
-	HeaderKey           = "Idempotency-Key"
-	HeaderNonIdempotent = "X-Pumice-Non-Idempotent"
-	HeaderTimeout       = "X-Pumice-Timeout-Ms"
-	HeaderRan           = "X-Pumice-Ran" // "yes", "no" or "unknown", with every error
-	HeaderRequest       = "X-Request-Id"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderNonIdempotent  = "X-Pumice-Non-Idempotent"
+	HeaderTimeout        = "X-Pumice-Timeout-Ms"
+	HeaderRan            = "X-Pumice-Ran" // "yes", "no" or "unknown"; set on every error response
+	HeaderRequestID      = "X-Request-Id"
 )
 
 // ServeCallers serves the callers' interface on ln until ctx ends.
 func (e *Entry) ServeCallers(ctx context.Context, ln net.Listener) error {
-	h := httpx.NewServer(ln, MaxCallerBody)
+	h := httpx.NewServer(ln, MaxCallerBodyBytes)
 	h.GET("/healthz", func(_ context.Context, c *app.RequestContext) { c.SetStatusCode(200) })
 	h.GET("/readyz", func(_ context.Context, c *app.RequestContext) {
 		if !e.Ready() {
@@ -51,27 +51,28 @@
 		}
 		c.SetStatusCode(200)
 	})
-	h.GET("/v1/models", e.caller(e.serveModels))
-	h.POST("/v1/completions", e.caller(e.serveCompletion))
-	h.POST("/v1/chat/completions", e.caller(e.serveChat))
-	h.Any("/v1/services/:service/*path", e.caller(e.serveService))
+	h.GET("/v1/models", e.handleCaller(e.serveModels))
+	h.POST("/v1/completions", e.handleCaller(e.serveCompletion))
+	h.POST("/v1/chat/completions", e.handleCaller(e.serveChat))
+	h.Any("/v1/services/:service/*path", e.handleCaller(e.serveService))
 	e.routeBatch(h)
 	return httpx.Serve(ctx, h)
 }
 
-// ServeMetrics is the handler of /metrics.
+// serveMetrics returns the handler of /metrics.
 func (e *Entry) serveMetrics() app.HandlerFunc {
 	handler := promhttp.HandlerFor(e.cfg.Metrics.Registry, promhttp.HandlerOpts{})
 	return adaptor.HertzHandler(handler)
 }
 
-// callerFunc handles a request of a known workspace.
-type callerFunc func(ctx context.Context, c *app.RequestContext, ws config.Workspace) error
+// callerHandler handles a request of an authenticated workspace.
+type callerHandler func(ctx context.Context, c *app.RequestContext, ws config.Workspace) error
 
-// caller checks the bearer key and turns failures into answers.
-func (e *Entry) caller(fn callerFunc) app.HandlerFunc {
+// handleCaller wraps fn: it counts the request as in flight, authenticates its
+// bearer key and writes errors as responses.
+func (e *Entry) handleCaller(fn callerHandler) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
-		defer e.enter()()
+		defer e.beginRequest()()
 		ws, err := e.authenticate(c)
 		if err == nil {
 			err = fn(ctx, c, ws)
@@ -82,7 +83,7 @@
 	}
 }
 
-func bearer(c *app.RequestContext) string {
+func bearerKey(c *app.RequestContext) string {
 	auth := string(c.GetHeader("Authorization"))
 	key, ok := strings.CutPrefix(auth, "Bearer ")
 	if !ok {
@@ -93,22 +94,23 @@
 
 func (e *Entry) authenticate(c *app.RequestContext) (config.Workspace, error) {
 	if !e.follower.Synced() {
-		return config.Workspace{}, apierr.New(apierr.CodeNotRun, "this entry has no configuration yet").After(time.Second)
+		return config.Workspace{}, apierr.New(apierr.CodeNotRun, "this entry has no configuration yet").WithRetryAfter(time.Second)
 	}
 	var ws config.Workspace
 	ok := false
-	hash := HashKey(bearer(c))
+	hash := HashKey(bearerKey(c))
 	e.follower.View(func(s *config.State) { ws, ok = s.WorkspaceByKey(hash) })
 	if !ok {
 		return ws, apierr.New(apierr.CodeUnauthorized, "unknown key")
 	}
-	if !e.allow(ws) {
-		return ws, apierr.New(apierr.CodeRateLimited, "the workspace's rate limit is reached").After(time.Second)
+	if !e.allowRequest(ws) {
+		return ws, apierr.New(apierr.CodeRateLimited, "the workspace's rate limit is reached").WithRetryAfter(time.Second)
 	}
 	return ws, nil
 }
 
-// errorBody is the JSON of every failure, in the form of the OpenAI interface.
+// errorBody is the JSON body of every error response, in the format of the OpenAI
+// API.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -130,7 +132,7 @@
 	return "unknown"
 }
 
-func errorOf(err error) (*apierr.Error, errorBody) {
+func newErrorBody(err error) (*apierr.Error, errorBody) {
 	fail := apierr.From(err)
 	return fail, errorBody{Error: errorDetail{
 		Code: string(fail.Code), Type: string(fail.Code), Message: fail.Message, Ran: ranText(fail.Ran),
@@ -138,7 +140,7 @@
 }
 
 func writeError(c *app.RequestContext, err error) {
-	fail, body := errorOf(err)
+	fail, body := newErrorBody(err)
 	c.Response.Header.Set(HeaderRan, ranText(fail.Ran))
 	if fail.RetryAfter > 0 {
 		c.Response.Header.Set("Retry-After", strconv.Itoa(int((fail.RetryAfter+time.Second-1)/time.Second)))
@@ -171,13 +173,13 @@
 	return nil
 }
 
-func (e *Entry) knowsModel(name string) bool {
-	known := false
-	e.follower.View(func(s *config.State) { _, known = s.Model(name) })
-	return known
+func (e *Entry) modelExists(name string) bool {
+	exists := false
+	e.follower.View(func(s *config.State) { _, exists = s.Model(name) })
+	return exists
 }
 
-// completionBody is the body of both kinds of completions.
+// completionBody is the request body of both text and chat completions.
 type completionBody struct {
 	Model               string              `json:"model"`
 	Prompt              string              `json:"prompt"`
@@ -190,7 +192,9 @@
 	} `json:"stream_options"`
 }
 
-// decodeCompletion reads a completion's body and checks it.
+// decodeCompletion parses and validates the body of a completion request, and
+// fills in the default number of tokens. The prompt of a chat is built from its
+// messages.
 func decodeCompletion(body []byte, chat bool) (completionBody, error) {
 	var b completionBody
 	if len(body) > MaxPromptBytes {
@@ -222,7 +226,8 @@
 	return b, nil
 }
 
-// newRequest reads the headers that every online request may carry.
+// newRequest returns a Request with the settings from the headers that every
+// online and batch request may carry.
 func newRequest(c *app.RequestContext, ws config.Workspace) (*Request, error) {
 	timeout := defaultTimeout
 	if v := string(c.GetHeader(HeaderTimeout)); v != "" {
@@ -232,9 +237,9 @@
 		}
 		timeout = time.Duration(ms) * time.Millisecond
 	}
-	key := string(c.GetHeader(HeaderKey))
+	key := string(c.GetHeader(HeaderIdempotencyKey))
 	if len(key) > MaxKeyBytes || !utf8.ValidString(key) {
-		return nil, apierr.New(apierr.CodeBadRequest, "%s must be UTF-8 of at most %d bytes", HeaderKey, MaxKeyBytes)
+		return nil, apierr.New(apierr.CodeBadRequest, "%s must be UTF-8 of at most %d bytes", HeaderIdempotencyKey, MaxKeyBytes)
 	}
 	return &Request{
 		ID:            uuid.New(),
@@ -266,16 +271,16 @@
 	req.Model = body.Model
 	req.Prompt = body.Prompt
 	req.MaxTokens = body.MaxTokens
-	c.Response.Header.Set(HeaderRequest, req.ID.String())
-	out := &completionWriter{c: c, chat: chat, model: req.Model, id: req.ID.String(), usage: body.StreamOptions.IncludeUsage}
+	c.Response.Header.Set(HeaderRequestID, req.ID.String())
+	out := &completionWriter{c: c, chat: chat, model: req.Model, id: req.ID.String(), includeUsage: body.StreamOptions.IncludeUsage}
 	if !body.Stream {
-		return e.completeWhole(ctx, req, out)
+		return e.completeBuffered(ctx, req, out)
 	}
 	return e.completeStream(ctx, req, out)
 }
 
-// serveService routes a call to a plain service. POST is not repeated unless the
-// caller marks it as idempotent.
+// serveService routes a request to a plain HTTP service. POST and PATCH requests
+// are not retried unless the caller marks them as idempotent.
 func (e *Entry) serveService(ctx context.Context, c *app.RequestContext, ws config.Workspace) error {
 	if len(c.Request.Body()) > MaxPromptBytes {
 		return apierr.New(apierr.CodeTooLarge, "body is over %d bytes", MaxPromptBytes)
@@ -301,9 +306,9 @@
 	return nil
 }
 
-func serviceNonIdempotent(method, mark string) bool {
-	if mark != "" {
-		return mark != "false"
+func serviceNonIdempotent(method, header string) bool {
+	if header != "" {
+		return header != "false"
 	}
 	return method == "POST" || method == "PATCH"
 }
--- a/entry/api_operator.go
+++ b/entry/api_operator.go
@@ -13,28 +13,30 @@
 	"pumiceford/httpx"
 )
 
-// maxOperatorBody bounds an operator's request.
-const maxOperatorBody = 1 << 20
+// maxOperatorBodyBytes is the maximum size of an operator's request body in bytes.
+const maxOperatorBodyBytes = 1 << 20
 
 // ServeOperators serves the operators' interface on ln until ctx ends.
 func (e *Entry) ServeOperators(ctx context.Context, ln net.Listener) error {
-	h := httpx.NewServer(ln, maxOperatorBody)
+	h := httpx.NewServer(ln, maxOperatorBodyBytes)
 	h.GET("/metrics", e.serveMetrics())
-	h.POST("/plans", e.operator(e.servePropose))
-	h.GET("/plans/:id", e.operator(e.servePlan))
-	h.POST("/plans/:id/confirm", e.operator(e.serveConfirm))
-	h.GET("/status", e.operator(e.serveStatus))
-	h.GET("/history", e.operator(e.serveHistory))
-	h.GET("/events", e.operator(e.serveEvents))
+	h.POST("/plans", e.handleOperator(e.servePropose))
+	h.GET("/plans/:id", e.handleOperator(e.servePlan))
+	h.POST("/plans/:id/confirm", e.handleOperator(e.serveConfirm))
+	h.GET("/status", e.handleOperator(e.serveStatus))
+	h.GET("/history", e.handleOperator(e.serveHistory))
+	h.GET("/events", e.handleOperator(e.serveEvents))
 	return httpx.Serve(ctx, h)
 }
 
-type operatorFunc func(ctx context.Context, c *app.RequestContext, op config.Operator) error
+// operatorHandler handles a request of an authenticated operator.
+type operatorHandler func(ctx context.Context, c *app.RequestContext, op config.Operator) error
 
-// operator checks the operator's key and turns failures into answers.
-func (e *Entry) operator(fn operatorFunc) app.HandlerFunc {
+// handleOperator wraps fn: it authenticates the operator's key and writes errors
+// as responses.
+func (e *Entry) handleOperator(fn operatorHandler) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
-		hash := HashKey(bearer(c))
+		hash := HashKey(bearerKey(c))
 		var op config.Operator
 		ok := false
 		e.follower.View(func(s *config.State) { op, ok = s.OperatorByKey(hash) })
@@ -48,17 +50,17 @@
 	}
 }
 
-// ProposeBody states intents.
+// ProposeBody is the body of a request that proposes a plan.
 type ProposeBody struct {
 	Why     string          `json:"why"`
 	Intents []config.Intent `json:"intents"`
 }
 
-// PlanReply is a plan with what it would do.
+// PlanReply is a plan with its effects and its progress.
 type PlanReply struct {
 	config.PlanView
 	Effects []string `json:"effects,omitempty"`
-	// Laggards are the nodes that have not reported the deciding offset.
+	// Laggards are the nodes that have not yet applied an accepted plan.
 	Laggards []string `json:"laggards,omitempty"`
 	InForce  bool     `json:"in_force"`
 }
@@ -93,17 +95,19 @@
 	return nil
 }
 
-// planReply adds whether an accepted plan is in force everywhere.
+// planReply returns v with, for an accepted plan, the nodes that have not applied
+// it.
 func (e *Entry) planReply(ctx context.Context, v config.PlanView) PlanReply {
 	r := PlanReply{PlanView: v}
 	if v.Status == config.Accepted {
-		r.Laggards = e.laggards(ctx, v.Decided+1)
+		r.Laggards = e.laggingNodes(ctx, v.Decided+1)
 		r.InForce = len(r.Laggards) == 0
 	}
 	return r
 }
 
-// ConfirmBody names the digest that the operator saw.
+// ConfirmBody is the body of a request that confirms a plan. Digest is the digest
+// of the plan that the operator has seen.
 type ConfirmBody struct {
 	Digest string `json:"digest"`
 }
@@ -128,10 +132,10 @@
 	return nil
 }
 
-// effects says in plain words what intents do where.
+// effects describes to an operator what the intents change.
 func (e *Entry) effects(intents []config.Intent) []string {
 	var out []string
-	agents := len(e.agentViews())
+	agents := len(e.agentStatuses())
 	for _, i := range intents {
 		switch i.Kind {
 		case config.SetModel:
@@ -149,40 +153,40 @@
 	return out
 }
 
-// StatusReply is the state of the fleet as one entry sees it.
+// StatusReply is the state of the fleet as known to one entry.
 type StatusReply struct {
-	Node       string        `json:"node"`
-	Ready      bool          `json:"ready"`
-	Config     uint64        `json:"config_offset"`
-	Workspaces int           `json:"workspaces"`
-	Laggards   []string      `json:"laggards"`
-	Agents     []AgentStatus `json:"agents"`
-	Partitions []Partition   `json:"partitions"`
+	Node         string        `json:"node"`
+	Ready        bool          `json:"ready"`
+	ConfigOffset uint64        `json:"config_offset"`
+	Workspaces   int           `json:"workspaces"`
+	Laggards     []string      `json:"laggards"`
+	Agents       []AgentStatus `json:"agents"`
+	Partitions   []Partition   `json:"partitions"`
 }
 
-// AgentStatus is one agent.
+// AgentStatus is the last status that an agent reported.
 type AgentStatus struct {
-	Name       string   `json:"name"`
-	DataCentre string   `json:"data_centre"`
-	Models     []string `json:"models"`
-	Seats      int      `json:"seats"`
-	Running    int      `json:"running"`
-	Queued     int      `json:"queued"`
-	Leaving    bool     `json:"leaving"`
-	Config     uint64   `json:"config_offset"`
+	Name         string   `json:"name"`
+	DataCentre   string   `json:"data_centre"`
+	Models       []string `json:"models"`
+	Seats        int      `json:"seats"`
+	Running      int      `json:"running"`
+	Queued       int      `json:"queued"`
+	Leaving      bool     `json:"leaving"`
+	ConfigOffset uint64   `json:"config_offset"`
 }
 
-// Partition is one partition and who is proposed to own it.
+// Partition is a batch partition with the entry that is proposed as its owner.
 type Partition struct {
 	Number uint32 `json:"number"`
 	Owner  string `json:"owner"`
 }
 
 func (e *Entry) serveStatus(ctx context.Context, c *app.RequestContext, _ config.Operator) error {
-	s := StatusReply{Node: e.cfg.Name, Ready: e.Ready(), Config: e.follower.Offset()}
+	s := StatusReply{Node: e.cfg.Name, Ready: e.Ready(), ConfigOffset: e.follower.Offset()}
 	e.follower.View(func(st *config.State) { s.Workspaces = st.Workspaces() })
-	s.Laggards = e.laggards(ctx, s.Config)
-	s.Agents = e.agentViews()
+	s.Laggards = e.laggingNodes(ctx, s.ConfigOffset)
+	s.Agents = e.agentStatuses()
 	for p := uint32(0); p < e.cfg.Ledger.Partitions; p++ {
 		s.Partitions = append(s.Partitions, Partition{Number: p, Owner: e.manager.Proposed(p)})
 	}
@@ -190,22 +194,22 @@
 	return nil
 }
 
-func (e *Entry) agentViews() []AgentStatus {
+func (e *Entry) agentStatuses() []AgentStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := []AgentStatus{}
-	for _, a := range e.router.Views() {
+	for _, a := range e.router.Agents() {
 		out = append(out, AgentStatus{
 			Name: a.Name, DataCentre: a.Report.DataCentre, Models: a.Report.Models, Seats: a.Report.Seats,
-			Running: a.Report.Running, Queued: a.Report.Queued, Leaving: a.Report.Leaving, Config: e.offsets[a.Name],
+			Running: a.Report.Running, Queued: a.Report.Queued, Leaving: a.Report.Leaving, ConfigOffset: e.offsets[a.Name],
 		})
 	}
 	return out
 }
 
 func (e *Entry) serveHistory(_ context.Context, c *app.RequestContext, _ config.Operator) error {
-	const most = 100
-	list := e.follower.History(most)
+	const maxPlans = 100
+	list := e.follower.History(maxPlans)
 	if list == nil {
 		list = []config.PlanView{}
 	}
@@ -214,7 +218,7 @@
 }
 
 func (e *Entry) serveEvents(_ context.Context, c *app.RequestContext, _ config.Operator) error {
-	list := e.events.about(c.Query("subject"))
+	list := e.events.forSubject(c.Query("subject"))
 	if list == nil {
 		list = []Event{}
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the process on an entry host: it takes callers' requests,
-// routes online requests to agents, runs its part of the batch partitions, and
-// serves operators.
+// Package entry implements the process on an entry host. It accepts callers'
+// requests, routes online requests to agents, owns a part of the batch partitions
+// and serves the operators' interface.
 package entry
 
 import (
@@ -27,65 +27,66 @@
 	"pumiceford/wire"
 )
 
-// Config says what an entry is made of.
+// Config holds the dependencies and settings of an entry.
 type Config struct {
 	Name        string
 	DataCentre  string
 	Incarnation oplog.Incarnation
 	Log         infra.Log
 	HostList    infra.HostList
-	Link        link.Config // Dial, TLS and timings; the rest is set here
+	Link        link.Config // Dial, TLS and timings; New sets the other fields
 	Ledger      ledger.Config
 	Routing     routing.Settings
 	Bootstrap   config.Operator
 
-	// HostsEvery is the interval at which the host list is read, default 2 s.
-	HostsEvery time.Duration
-	// ReattachFor is how long an entry tries to reach an agent that holds a
-	// non-idempotent request, default 3 s.
-	ReattachFor time.Duration
-	// ResumeAfter is the same for an idempotent request, which may go on at
+	// HostListInterval is the time between reads of the host list, default 2 s.
+	HostListInterval time.Duration
+	// ReattachTimeout is how long the entry tries to reconnect to an agent that
+	// holds a non-idempotent request, default 3 s.
+	ReattachTimeout time.Duration
+	// ResumeTimeout is the same for an idempotent request, which can continue at
 	// another agent, default 500 ms.
-	ResumeAfter time.Duration
-	// AgentsPerEntry bounds the agents that one entry talks to, default 64.
-	AgentsPerEntry int
+	ResumeTimeout time.Duration
+	// MaxAgents is the maximum number of agents that the entry connects to,
+	// default 64.
+	MaxAgents int
 
 	Logger  logging.Logger
 	Metrics *metrics.Set
 }
 
-// Defaults of Config.
+// Default values of Config fields.
 const (
-	defaultHostsEvery     = 2 * time.Second
-	defaultReattachFor    = 3 * time.Second
-	defaultResumeAfter    = 500 * time.Millisecond
-	defaultAgentsPerEntry = 64
+	defaultHostListInterval = 2 * time.Second
+	defaultReattachTimeout  = 3 * time.Second
+	defaultResumeTimeout    = 500 * time.Millisecond
+	defaultMaxAgents        = 64
 )
 
-// Entry is one entry. Lock order: Entry.mu is taken last and nothing else is
-// taken under it.
+// Entry is the server that runs on an entry host. Lock order: Entry.mu is acquired
+// last, and no other lock is acquired while it is held.
 type Entry struct {
-	cfg      Config
-	log      logging.Logger
-	follower *config.Follower
-	manager  *ledger.Manager
-	budget   *online.RetryBudget
-	events   *eventLog
+	cfg         Config
+	log         logging.Logger
+	follower    *config.Follower
+	manager     *ledger.Manager
+	retryBudget *online.RetryBudget
+	events      *eventLog
 
-	mu        sync.Mutex
-	router    *routing.Router
-	agents    map[string]*node // by host name
-	entries   map[string]*node
-	limits    map[string]*limiter
-	leaving   bool
-	active    int
-	offsets   map[string]uint64 // node -> config offset it reported
-	hosts     []infra.Host      // the last host list
-	alive     int               // live entries, this one included
-	leavingBy map[string]bool   // agents that say so themselves
+	mu             sync.Mutex
+	router         *routing.Router
+	agents         map[string]*node // by host name
+	entries        map[string]*node
+	limits         map[string]*limiter
+	leaving        bool
+	inFlight       int
+	offsets        map[string]uint64 // last reported config offset by node name
+	hosts          []infra.Host      // last host list read
+	servingEntries int               // entries that are not leaving, including this one; at least 1
+	agentLeaving   map[string]bool   // whether each agent reports that it is leaving
 }
 
-// node is another process that this entry talks to.
+// node is another process, an agent or an entry, that this entry connects to.
 type node struct {
 	host   infra.Host
 	peer   *link.Peer
@@ -93,32 +94,33 @@
 	ctx    context.Context
 }
 
+// limiter is this entry's share of one workspace's rate limit.
 type limiter struct {
 	perSecond float64
 	bucket    *rate.Limiter
 }
 
-// New returns an Entry. Run starts it.
+// New returns an Entry with cfg and its defaults. The caller starts it with Run.
 func New(cfg Config) *Entry {
-	defaults.Set(&cfg.HostsEvery, defaultHostsEvery)
-	defaults.Set(&cfg.ReattachFor, defaultReattachFor)
-	defaults.Set(&cfg.ResumeAfter, defaultResumeAfter)
-	defaults.Set(&cfg.AgentsPerEntry, defaultAgentsPerEntry)
+	defaults.Set(&cfg.HostListInterval, defaultHostListInterval)
+	defaults.Set(&cfg.ReattachTimeout, defaultReattachTimeout)
+	defaults.Set(&cfg.ResumeTimeout, defaultResumeTimeout)
+	defaults.Set(&cfg.MaxAgents, defaultMaxAgents)
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.New(cfg.Name)
 	}
 	cfg.Routing.DataCentre = cfg.DataCentre
 	e := &Entry{
-		cfg:       cfg,
-		log:       cfg.Logger.Part("entry"),
-		budget:    online.NewRetryBudget(),
-		events:    newEventLog(),
-		router:    routing.New(cfg.Routing),
-		agents:    make(map[string]*node),
-		entries:   make(map[string]*node),
-		limits:    make(map[string]*limiter),
-		offsets:   make(map[string]uint64),
-		leavingBy: make(map[string]bool),
+		cfg:          cfg,
+		log:          cfg.Logger.WithPrefix("entry"),
+		retryBudget:  online.NewRetryBudget(),
+		events:       newEventLog(),
+		router:       routing.New(cfg.Routing),
+		agents:       make(map[string]*node),
+		entries:      make(map[string]*node),
+		limits:       make(map[string]*limiter),
+		offsets:      make(map[string]uint64),
+		agentLeaving: make(map[string]bool),
 	}
 	e.follower = config.NewFollower(cfg.Log, cfg.Incarnation, cfg.Bootstrap, cfg.Logger)
 	e.follower.SetFetch(e.fetchConfig)
@@ -131,22 +133,23 @@
 	e.cfg.Link.Node = cfg.Name
 	e.cfg.Link.Incarnation = cfg.Incarnation
 	e.cfg.Link.Status = e.status
-	e.cfg.Link.OnStatus = e.noteStatus
-	e.cfg.Link.OnLost = e.noteLost
-	e.cfg.Link.Handle = e.handle
+	e.cfg.Link.OnStatus = e.handlePeerStatus
+	e.cfg.Link.OnDisconnect = e.handlePeerLost
+	e.cfg.Link.Handle = e.handleCall
 	return e
 }
 
-// Run serves peers on ln and keeps the entry's state until ctx ends.
+// Run serves connections of peers on ln and runs the entry's background work until
+// ctx ends.
 func (e *Entry) Run(ctx context.Context, ln net.Listener) error {
 	go e.follower.Run(ctx)
-	go e.followHosts(ctx)
+	go e.pollHosts(ctx)
 	go e.manager.Run(ctx)
-	go e.keepConfigSnapshot(ctx)
+	go e.writeConfigSnapshots(ctx)
 	return link.Serve(ctx, ln, e.cfg.Link)
 }
 
-// Ready reports whether the entry should get requests from the balancer.
+// Ready reports whether the load balancer should send requests to the entry.
 func (e *Entry) Ready() bool {
 	if !e.follower.Synced() {
 		return false
@@ -156,39 +159,40 @@
 	return !e.leaving
 }
 
-// Leave stops new requests, waits until those in progress have finished, hands
-// its partitions over, and returns how many requests the end of ctx cut off.
-// balancer is the time in which the balancer sees that the entry is not ready
-// any more; until it has passed requests are still taken.
-func (e *Entry) Leave(ctx context.Context, balancer time.Duration) int {
+// Leave drains the entry: it reports not ready, waits until the requests in
+// flight have finished and hands its partitions over. It returns the number of
+// requests still in flight when ctx ended. balancerDelay is the time until the
+// load balancer stops sending requests to an entry that is not ready; during it
+// the entry still accepts requests.
+func (e *Entry) Leave(ctx context.Context, balancerDelay time.Duration) int {
 	e.mu.Lock()
 	e.leaving = true
 	e.mu.Unlock()
-	_ = wait.For(ctx, balancer)
+	_ = wait.For(ctx, balancerDelay)
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	for e.activeRequests() > 0 && ctx.Err() == nil {
+	for e.inFlightRequests() > 0 && ctx.Err() == nil {
 		<-tick.C
 	}
-	cut := e.activeRequests()
+	unfinished := e.inFlightRequests()
 	e.manager.Leave(ctx)
-	return cut
+	return unfinished
 }
 
-func (e *Entry) activeRequests() int {
+func (e *Entry) inFlightRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.active
+	return e.inFlight
 }
 
-// enter counts a request in progress. The returned function ends it.
-func (e *Entry) enter() func() {
+// beginRequest counts a request as in flight. The returned function ends it.
+func (e *Entry) beginRequest() func() {
 	e.mu.Lock()
-	e.active++
+	e.inFlight++
 	e.mu.Unlock()
 	return func() {
 		e.mu.Lock()
-		e.active--
+		e.inFlight--
 		e.mu.Unlock()
 	}
 }
@@ -200,12 +204,12 @@
 			share = ws.Share
 		}
 	})
-	return max(share, leastShare)
+	return max(share, minShare)
 }
 
-// leastShare is the weight of a workspace without a share. It gets what the
-// others leave.
-const leastShare = 0.001
+// minShare is the weight of a workspace without a share. Such a workspace gets
+// only the capacity that the others do not use.
+const minShare = 0.001
 
 func (e *Entry) status() *wire.NodeStatus {
 	e.mu.Lock()
@@ -220,8 +224,9 @@
 	}
 }
 
-// agentAt returns the name of the agent at an address. Entry.mu must be held.
-func (e *Entry) agentAt(addr string) string {
+// agentByAddr returns the name of the agent at addr, or "" if there is none.
+// Entry.mu must be held.
+func (e *Entry) agentByAddr(addr string) string {
 	for name, n := range e.agents {
 		if n.host.Addr == addr {
 			return name
@@ -230,27 +235,28 @@
 	return ""
 }
 
-// noteLost takes an agent out of routing that cannot be reached.
-func (e *Entry) noteLost(addr string) {
+// handlePeerLost removes the unreachable agent at addr from routing.
+func (e *Entry) handlePeerLost(addr string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.router.Lost(e.agentAt(addr))
+	e.router.MarkUnreachable(e.agentByAddr(addr))
 }
 
-// noteStatus takes what a peer said of itself on a heartbeat.
-func (e *Entry) noteStatus(addr string, st *wire.NodeStatus) {
+// handlePeerStatus records the status that a peer reported in a heartbeat. A nil
+// status only marks the agent as alive.
+func (e *Entry) handlePeerStatus(addr string, st *wire.NodeStatus) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if st == nil {
-		e.router.Alive(time.Now(), e.agentAt(addr))
+		e.router.RenewReport(time.Now(), e.agentByAddr(addr))
 		return
 	}
 	e.offsets[st.GetNode()] = st.GetConfigOffset()
 	if e.agents[st.GetNode()] == nil {
 		return
 	}
-	e.leavingBy[st.GetNode()] = st.GetLeaving()
-	e.router.Note(time.Now(), st.GetNode(), routing.Report{
+	e.agentLeaving[st.GetNode()] = st.GetLeaving()
+	e.router.UpdateReport(time.Now(), st.GetNode(), routing.Report{
 		Incarnation: string(st.GetIncarnation()),
 		DataCentre:  st.GetDataCentre(),
 		Models:      st.GetModels(),
@@ -262,46 +268,50 @@
 	})
 }
 
-// handle serves streams that other nodes open to this entry.
-func (e *Entry) handle(ctx context.Context, _ link.Class, call *wire.Call, st *link.Stream) {
+// handleCall serves a stream that another node opened to this entry.
+func (e *Entry) handleCall(ctx context.Context, _ link.Class, call *wire.Call, st *link.Stream) {
 	switch k := call.GetKind().(type) {
 	case *wire.Call_ConfigFetch:
-		// A reader that is gone asks again.
+		// Errors are ignored: a node that did not get the records calls again.
 		_ = st.Send(e.follower.Records(k.ConfigFetch.GetFrom()))
 	case *wire.Call_Peer:
 		_ = st.Send(e.servePeer(ctx, k.Peer))
 	}
 }
 
-// allow takes one request of a workspace's rate limit. The limit is shared
-// evenly among the live entries, because the balancer spreads requests evenly.
-func (e *Entry) allow(ws config.Workspace) bool {
+// allowRequest reports whether the rate limit of a workspace admits one more
+// request, and counts it. Each serving entry applies an equal share of the limit,
+// because the load balancer spreads requests evenly.
+func (e *Entry) allowRequest(ws config.Workspace) bool {
 	if ws.Limit <= 0 {
 		return true
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	mine := ws.Limit / float64(max(e.alive, 1))
+	perSecond := ws.Limit / float64(max(e.servingEntries, 1))
 	l := e.limits[ws.Name]
-	if l == nil || l.perSecond != mine {
-		l = &limiter{perSecond: mine, bucket: rate.NewLimiter(rate.Limit(mine), int(mine)+1)}
+	if l == nil || l.perSecond != perSecond {
+		l = &limiter{perSecond: perSecond, bucket: rate.NewLimiter(rate.Limit(perSecond), int(perSecond)+1)}
 		e.limits[ws.Name] = l
 	}
 	return l.bucket.Allow()
 }
 
-// HashKey returns the form in which keys are kept in the configuration.
+// HashKey returns the hex SHA-256 of a key. The configuration stores keys only in
+// this form.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// configSnapshotEvery is how many config records a snapshot may lie behind.
-const configSnapshotEvery = 500
+// maxSnapshotLagRecords is the number of config records after the last snapshot
+// that triggers the next one.
+const maxSnapshotLagRecords = 500
 
-// keepConfigSnapshot writes snapshots of the configuration now and then. The
-// entry that is proposed for partition 0 does it, so that few write the same.
-func (e *Entry) keepConfigSnapshot(ctx context.Context) {
+// writeConfigSnapshots writes a snapshot of the configuration whenever enough
+// records have been added. Only the proposed owner of partition 0 does so, which
+// avoids that every entry writes the same snapshot.
+func (e *Entry) writeConfigSnapshots(ctx context.Context) {
 	var written uint64
 	tick := time.NewTicker(5 * time.Second)
 	defer tick.Stop()
@@ -312,7 +322,7 @@
 		case <-tick.C:
 		}
 		offset := e.follower.Offset()
-		if offset < written+configSnapshotEvery || e.manager.Proposed(0) != e.cfg.Name {
+		if offset < written+maxSnapshotLagRecords || e.manager.Proposed(0) != e.cfg.Name {
 			continue
 		}
 		if err := e.follower.WriteSnapshot(ctx); err != nil {
--- a/entry/hosts.go
+++ b/entry/hosts.go
@@ -15,9 +15,10 @@
 	"pumiceford/wire"
 )
 
-// followHosts keeps the nodes in step with the platform's host list and the
-// drains that operators put in force. While the list is down the last one stands.
-func (e *Entry) followHosts(ctx context.Context) {
+// pollHosts updates the nodes from the platform's host list and from the hosts
+// that operators have drained. If the list cannot be read, the last one read
+// stays in effect.
+func (e *Entry) pollHosts(ctx context.Context) {
 	var last []infra.Host
 	for ctx.Err() == nil {
 		changed := e.follower.Changed()
@@ -26,7 +27,7 @@
 			last = hosts
 		}
 		e.setHosts(ctx, last)
-		timer := time.NewTimer(e.cfg.HostsEvery)
+		timer := time.NewTimer(e.cfg.HostListInterval)
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -36,9 +37,10 @@
 	}
 }
 
-// setHosts adds and drops nodes.
+// setHosts applies a host list: it adds and removes nodes and tells the ledger
+// which entries are alive.
 func (e *Entry) setHosts(ctx context.Context, hosts []infra.Host) {
-	var alive, staying []string
+	var alive, serving []string
 	agents := make(map[string]infra.Host)
 	entries := make(map[string]infra.Host)
 	for _, h := range hosts {
@@ -50,21 +52,21 @@
 		case infra.RoleEntry:
 			alive = append(alive, h.Name)
 			if !leaving {
-				staying = append(staying, h.Name)
+				serving = append(serving, h.Name)
 			}
 			if h.Name != e.cfg.Name {
 				entries[h.Name] = h
 			}
 		}
 	}
-	e.manager.SetEntries(alive, staying)
-	agents = e.subset(agents)
+	e.manager.SetEntries(alive, serving)
+	agents = e.agentSubset(agents)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.alive = max(len(staying), 1)
+	e.servingEntries = max(len(serving), 1)
 	e.hosts = hosts
-	e.reconcile(ctx, e.agents, agents, true)
-	e.reconcile(ctx, e.entries, entries, false)
+	e.reconcileNodes(ctx, e.agents, agents, true)
+	e.reconcileNodes(ctx, e.entries, entries, false)
 	for name, h := range agents {
 		e.router.SetDrained(name, h.Leaving)
 	}
@@ -76,10 +78,11 @@
 	return drained
 }
 
-// subset keeps the agents that rendezvous hashing gives to this entry, so that
-// connections and reports stay flat as the fleet grows.
-func (e *Entry) subset(agents map[string]infra.Host) map[string]infra.Host {
-	if len(agents) <= e.cfg.AgentsPerEntry {
+// agentSubset returns the at most MaxAgents agents that rendezvous hashing
+// assigns to this entry. The limit keeps the number of connections and status
+// reports per entry constant as the fleet grows.
+func (e *Entry) agentSubset(agents map[string]infra.Host) map[string]infra.Host {
+	if len(agents) <= e.cfg.MaxAgents {
 		return agents
 	}
 	names := make([]string, 0, len(agents))
@@ -87,14 +90,16 @@
 		names = append(names, name)
 	}
 	out := make(map[string]infra.Host)
-	for _, name := range routing.Top(names, routing.PrefixKey("entry", e.cfg.Name), e.cfg.AgentsPerEntry) {
+	for _, name := range routing.Top(names, routing.PrefixKey("entry", e.cfg.Name), e.cfg.MaxAgents) {
 		out[name] = agents[name]
 	}
 	return out
 }
 
-// reconcile makes nodes match the hosts. Entry.mu must be held.
-func (e *Entry) reconcile(ctx context.Context, nodes map[string]*node, hosts map[string]infra.Host, agents bool) {
+// reconcileNodes removes the nodes that are not in hosts or have another address
+// there, and adds the missing ones. agents says that the nodes are agents, which
+// are also routed to. Entry.mu must be held.
+func (e *Entry) reconcileNodes(ctx context.Context, nodes map[string]*node, hosts map[string]infra.Host, agents bool) {
 	for name, n := range nodes {
 		if h, ok := hosts[name]; ok && h.Addr == n.host.Addr {
 			n.host = h
@@ -106,7 +111,7 @@
 		delete(e.offsets, name)
 		if agents {
 			e.router.Remove(name)
-			delete(e.leavingBy, name)
+			delete(e.agentLeaving, name)
 		}
 	}
 	for name, h := range hosts {
@@ -118,40 +123,42 @@
 		nodes[name] = n
 		if agents {
 			e.router.Add(name, h.Addr)
-			go n.peer.Keep(nctx, link.Control, redialPause)
+			go n.peer.KeepConnected(nctx, link.Control, redialDelay)
 		}
 	}
 }
 
-// redialPause is the wait between dials of a node that cannot be reached.
-const redialPause = 200 * time.Millisecond
+// redialDelay is the pause between attempts to connect to a node.
+const redialDelay = 200 * time.Millisecond
 
+// agent returns the node of an agent, or nil if this entry does not connect to it.
 func (e *Entry) agent(name string) *node {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.agents[name]
 }
 
-// feedAgents keeps a batch stream open from a partition owner to each agent.
+// feedAgents keeps a batch stream open from a partition owner to each agent until
+// ctx ends.
 func (e *Entry) feedAgents(ctx context.Context, o *ledger.Owner) {
-	fed := make(map[string]context.CancelFunc)
-	tick := time.NewTicker(redialPause)
+	feeds := make(map[string]context.CancelFunc)
+	tick := time.NewTicker(redialDelay)
 	defer tick.Stop()
 	for {
 		e.mu.Lock()
 		for name, n := range e.agents {
-			if fed[name] != nil {
+			if feeds[name] != nil {
 				continue
 			}
 			fctx, cancel := context.WithCancel(ctx)
 			stop := context.AfterFunc(n.ctx, cancel)
-			fed[name] = func() { stop(); cancel() }
+			feeds[name] = func() { stop(); cancel() }
 			go e.feedAgent(fctx, o, name, n)
 		}
-		for name, cancel := range fed {
+		for name, cancel := range feeds {
 			if e.agents[name] == nil {
 				cancel()
-				delete(fed, name)
+				delete(feeds, name)
 			}
 		}
 		e.mu.Unlock()
@@ -168,7 +175,7 @@
 		if o.Ready() {
 			e.feedOnce(ctx, o, name, n)
 		}
-		_ = wait.For(ctx, redialPause)
+		_ = wait.For(ctx, redialDelay)
 	}
 }
 
@@ -185,16 +192,18 @@
 	o.Attach(ctx, name, feedStream{st})
 }
 
-// feedStream adapts a link stream to the ledger's port.
+// feedStream adapts a link stream to the stream interface of the ledger.
 type feedStream struct {
 	st *link.Stream
 }
 
-func (f feedStream) Send(m *wire.FeedDown) error { return f.st.Send(m) }
-func (f feedStream) Recv(m *wire.FeedUp) error   { return f.st.Recv(m) }
-func (f feedStream) Close()                      { f.st.Close() }
+func (f feedStream) Send(m *wire.OwnerUpdate) error { return f.st.Send(m) }
+func (f feedStream) Recv(m *wire.AgentUpdate) error { return f.st.Recv(m) }
+func (f feedStream) Close()                         { f.st.Close() }
 
-// fetchConfig asks other entries for configuration.
+// fetchConfig asks the other entries for config records from offset from on, and
+// returns the reply that reaches furthest. Entries that do not answer are
+// skipped.
 func (e *Entry) fetchConfig(ctx context.Context, from uint64) (*wire.ConfigRecords, error) {
 	e.mu.Lock()
 	var peers []*node
@@ -216,34 +225,35 @@
 	return best, nil
 }
 
-// peerTimeout bounds one short call to another entry.
+// peerTimeout is the time limit of one short call to another node.
 const peerTimeout = time.Second
 
-// Bounds of calls to partition owners.
+// Retries of calls to partition owners.
 const (
-	ownerPatience   = 8 * time.Second // for a partition that is changing hands
-	ownerRetryPause = 200 * time.Millisecond
+	ownerRetryTimeout = 8 * time.Second // for a partition whose owner is changing
+	ownerRetryDelay   = 200 * time.Millisecond
 )
 
-// Ask sends a request to the owner of a partition, wherever it is, and waits for
-// a partition that is changing hands. All such requests may be repeated.
-func (e *Entry) Ask(ctx context.Context, req *wire.PeerRequest) (*wire.PeerReply, error) {
-	until := time.Now().Add(ownerPatience)
+// CallOwner sends a request to the owner of its partition, which may be this
+// entry. While the owner is changing it retries for up to ownerRetryTimeout; this
+// is safe because all these requests are idempotent.
+func (e *Entry) CallOwner(ctx context.Context, req *wire.PeerRequest) (*wire.PeerReply, error) {
+	deadline := time.Now().Add(ownerRetryTimeout)
 	for {
-		reply := e.askOnce(ctx, req)
+		reply := e.callOwnerOnce(ctx, req)
 		if reply.GetFailure() == nil {
 			return reply, nil
 		}
 		err := apierr.FromWire(reply.GetFailure())
-		again := err.Code == apierr.CodeNotOwner && time.Now().Before(until) && ctx.Err() == nil
-		if !again {
+		retry := err.Code == apierr.CodeNotOwner && time.Now().Before(deadline) && ctx.Err() == nil
+		if !retry {
 			return nil, err
 		}
-		_ = wait.For(ctx, ownerRetryPause)
+		_ = wait.For(ctx, ownerRetryDelay)
 	}
 }
 
-func (e *Entry) askOnce(ctx context.Context, req *wire.PeerRequest) *wire.PeerReply {
+func (e *Entry) callOwnerOnce(ctx context.Context, req *wire.PeerRequest) *wire.PeerReply {
 	owner := e.manager.Proposed(req.GetPartition())
 	if owner == e.cfg.Name {
 		return e.servePeer(ctx, req)
@@ -252,26 +262,27 @@
 	n := e.entries[owner]
 	e.mu.Unlock()
 	if n == nil {
-		return failed(apierr.New(apierr.CodeNotOwner, "no entry owns the partition").After(time.Second))
+		return failureReply(apierr.New(apierr.CodeNotOwner, "no entry owns the partition").WithRetryAfter(time.Second))
 	}
 	reply := &wire.PeerReply{}
 	call := &wire.Call{Kind: &wire.Call_Peer{Peer: req}}
 	if err := n.peer.Call(ctx, link.Batch, call, reply); err != nil {
-		e.log.Debug("owner not reached", logging.F("owner", owner), logging.F("error", err.Error()))
-		return failed(apierr.Unknown(apierr.CodeNotOwner, "the partition's owner does not answer").After(time.Second))
+		e.log.Debug("call to the partition owner failed", logging.F("owner", owner), logging.F("error", err.Error()))
+		return failureReply(apierr.MaybeExecuted(apierr.CodeNotOwner, "the partition's owner does not answer").WithRetryAfter(time.Second))
 	}
 	return reply
 }
 
-func failed(err *apierr.Error) *wire.PeerReply {
+func failureReply(err *apierr.Error) *wire.PeerReply {
 	return &wire.PeerReply{Failure: err.ToWire()}
 }
 
-// servePeer carries out a request on a partition that this entry runs.
+// servePeer serves a request for a partition, and fails if this entry does not
+// own it.
 func (e *Entry) servePeer(ctx context.Context, req *wire.PeerRequest) *wire.PeerReply {
 	o := e.manager.Owner(req.GetPartition())
 	if o == nil {
-		return failed(apierr.New(apierr.CodeNotOwner, "partition is changing hands").After(time.Second))
+		return failureReply(apierr.New(apierr.CodeNotOwner, "partition is changing hands").WithRetryAfter(time.Second))
 	}
 	return o.Serve(ctx, req)
 }
--- a/entry/online_fault_test.go
+++ b/entry/online_fault_test.go
@@ -17,47 +17,47 @@
 	"pumiceford/wire"
 )
 
-// call is one caller's request and what it was told.
-type call struct {
-	id      uuid.UUID
-	prompt  string
-	tokens  uint32
-	service bool
-	nonIdem bool
-	key     string
-	got     strings.Builder
-	foreign bool // a piece did not continue the answer
-	err     *apierr.Error
-	done    bool
+// testCall is a caller's request with the response that the caller got.
+type testCall struct {
+	id            uuid.UUID
+	prompt        string
+	tokens        uint32
+	service       bool
+	nonIdempotent bool
+	key           string
+	got           strings.Builder
+	mismatched    bool // the text received is not a prefix of the expected answer
+	err           *apierr.Error
+	done          bool
 }
 
-func (c *call) want() string {
+func (c *testCall) want() string {
 	if c.service {
 		return `{"done":"POST /stamp"}`
 	}
 	return standin.AnswerText(c.prompt, c.tokens)
 }
 
-// send runs a request through an entry and notes what the caller sees.
-func (w *world) send(c *call, through int) {
+// sendCall sends a request through entry via and records the response.
+func (tc *testCluster) sendCall(c *testCall, via int) {
 	defer func() { c.done = true }()
-	e := w.some(through)
+	e := tc.runningEntry(via)
 	if e == nil {
 		c.err = apierr.New(apierr.CodeNotRun, "no entry")
 		return
 	}
 	req := &Request{
-		ID: c.id, Workspace: worldWorkspace.Name, Model: worldModel, Prompt: c.prompt, MaxTokens: c.tokens,
-		NonIdempotent: c.nonIdem, Key: c.key, Deadline: time.Now().Add(20 * time.Second),
+		ID: c.id, Workspace: testWorkspace.Name, Model: testModel, Prompt: c.prompt, MaxTokens: c.tokens,
+		NonIdempotent: c.nonIdempotent, Key: c.key, Deadline: time.Now().Add(20 * time.Second),
 	}
 	if c.service {
 		req.Service, req.Method, req.Path, req.Body = "stamps", "POST", "/stamp", []byte(c.prompt)
 	}
-	ctx, cancel := context.WithCancel(w.ctx)
+	ctx, cancel := context.WithCancel(tc.ctx)
 	defer cancel()
 	_, err := e.Do(ctx, req, func(p *wire.Piece) error {
 		c.got.Write(p.GetText())
-		c.foreign = c.foreign || !strings.HasPrefix(c.want(), c.got.String())
+		c.mismatched = c.mismatched || !strings.HasPrefix(c.want(), c.got.String())
 		return nil
 	})
 	if err != nil {
@@ -65,71 +65,72 @@
 	}
 }
 
-// runsOfCall counts how often a request reached an engine or the service.
-func (w *world) runsOfCall(c *call) int {
+// countCallRuns returns how often a request ran on an engine or the service.
+func (tc *testCluster) countCallRuns(c *testCall) int {
 	if c.service {
-		return w.service.Calls(c.prompt)
+		return tc.service.CallCount(c.prompt)
 	}
 	n := 0
-	for _, e := range w.engines {
-		n += e.Runs(hex.EncodeToString(c.id[:]))
+	for _, e := range tc.engines {
+		n += e.RunCount(hex.EncodeToString(c.id[:]))
 	}
 	return n
 }
 
-// check compares what a caller was told with what happened.
-func (w *world) check(c *call) error {
-	runs := w.runsOfCall(c)
+// checkCall compares the response to a caller with what actually ran.
+func (tc *testCluster) checkCall(c *testCall) error {
+	runs := tc.countCallRuns(c)
 	switch {
 	case !c.done:
 		return fmt.Errorf("request %s has no answer", c.prompt)
-	case c.foreign:
-		return fmt.Errorf("request %s got %q, which does not begin %q", c.prompt, c.got.String(), c.want())
+	case c.mismatched:
+		return fmt.Errorf("request %s got %q, which is not a prefix of %q", c.prompt, c.got.String(), c.want())
 	case c.err == nil && c.got.String() != c.want():
-		return fmt.Errorf("request %s ended well with %d of %d bytes", c.prompt, c.got.Len(), len(c.want()))
-	case c.nonIdem && runs > 1:
+		return fmt.Errorf("request %s succeeded with %d of %d bytes", c.prompt, c.got.Len(), len(c.want()))
+	case c.nonIdempotent && runs > 1:
 		return fmt.Errorf("non-idempotent request %s ran %d times", c.prompt, runs)
 	case c.err != nil && c.err.Ran == wire.Ran_RAN_NO && runs > 0:
-		return fmt.Errorf("request %s was told as not run (%w) and ran %d times", c.prompt, c.err, runs)
+		return fmt.Errorf("request %s was reported as not run (%w) but ran %d times", c.prompt, c.err, runs)
 	case c.err != nil && c.err.Ran == wire.Ran_RAN_YES && runs == 0:
-		return fmt.Errorf("request %s was told as run (%w) and never ran", c.prompt, c.err)
+		return fmt.Errorf("request %s was reported as run (%w) but never ran", c.prompt, c.err)
 	}
 	return nil
 }
 
-var onlineKinds = []string{
-	"ask", "ask", "ask", "ask once", "ask once", "stamp", "keyed stamp", "resend",
+var onlineStepKinds = []string{
+	"ask", "ask", "ask", "non-idempotent ask", "non-idempotent ask", "stamp", "keyed stamp", "resend",
 	"kill entry", "restart entry", "pause entry", "resume entry",
 	"kill agent", "restart agent", "pause agent", "resume agent", "crash engine", "silence", "silence",
-	"leave agent", "log down", "log up", "lose answers",
+	"drain agent", "log down", "log up", "lose answers",
 }
 
-// runOnlineStory plays drawn steps with callers beside them.
-func runOnlineStory(t *testing.T, steps []step) error {
+// runOnlineScenario applies steps while callers send requests, and checks every
+// response.
+func runOnlineScenario(t *testing.T, steps []step) error {
 	var failure error
-	bubble(t, func(*testing.T) {
-		w := newWorld(worldSettings{entries: 2, agents: 3, partitions: 2, snapshotEvery: 100, hostLag: 300 * time.Millisecond})
-		defer w.close()
-		if failure = await(time.Minute, func() error { return w.configure(w.ctx) }); failure != nil {
+	runInBubble(t, func(*testing.T) {
+		tc := newTestCluster(clusterSettings{entries: 2, agents: 3, partitions: 2, snapshotEvery: 100, hostLag: 300 * time.Millisecond})
+		defer tc.close()
+		if failure = eventually(time.Minute, func() error { return tc.configureModel(tc.ctx) }); failure != nil {
 			return
 		}
 		time.Sleep(time.Second)
-		var calls []*call
+		var calls []*testCall
 		var wg sync.WaitGroup
 		for _, s := range steps {
 			time.Sleep(s.After)
-			if c := w.newCall(s, calls); c != nil {
+			if c := tc.newCall(s, calls); c != nil {
 				calls = append(calls, c)
-				wg.Go(func() { w.send(c, s.A) })
+				wg.Go(func() { tc.sendCall(c, s.A) })
 				continue
 			}
-			w.playOnline(s)
+			tc.applyOnlineStep(s)
 		}
-		w.heal()
+		tc.clearFaults()
 		wg.Wait()
 		time.Sleep(10 * time.Second)
 		for _, c := range calls {
-			if failure = w.check(c); failure != nil {
+			if failure = tc.checkCall(c); failure != nil {
 				return
 			}
 		}
@@ -137,23 +138,23 @@
 	return failure
 }
 
-// newCall makes the request of a step, nil when the step is a fault.
-func (w *world) newCall(s step, calls []*call) *call {
+// newCall returns the request of a step, or nil if the step injects a fault.
+func (tc *testCluster) newCall(s step, calls []*testCall) *testCall {
 	n := len(calls)
-	c := &call{id: uuid.New(), prompt: fmt.Sprintf("question %d", n), tokens: uint32(1 + 20*s.B)}
+	c := &testCall{id: uuid.New(), prompt: fmt.Sprintf("question %d", n), tokens: uint32(1 + 20*s.B)}
 	switch s.Kind {
 	case "ask":
-	case "ask once":
-		c.nonIdem = true
+	case "non-idempotent ask":
+		c.nonIdempotent = true
 	case "stamp":
-		c.service, c.nonIdem = true, true
+		c.service, c.nonIdempotent = true, true
 	case "keyed stamp":
-		c.service, c.nonIdem, c.key = true, true, c.prompt
+		c.service, c.nonIdempotent, c.key = true, true, c.prompt
 	case "resend":
-		// The caller sends a keyed request once more, through whichever entry.
+		// The caller retries a keyed request, through any entry.
 		for _, old := range calls {
 			if old.key != "" {
-				c.service, c.nonIdem, c.key, c.prompt, c.tokens = true, true, old.key, old.prompt, old.tokens
+				c.service, c.nonIdempotent, c.key, c.prompt, c.tokens = true, true, old.key, old.prompt, old.tokens
 				return c
 			}
 		}
@@ -164,48 +165,48 @@
 	return c
 }
 
-func (w *world) playOnline(s step) {
-	name := agentName(s.A % w.set.agents)
+func (tc *testCluster) applyOnlineStep(s step) {
+	name := agentName(s.A % tc.settings.agents)
 	switch s.Kind {
 	case "pause agent":
-		if a := w.agents[name]; a != nil {
+		if a := tc.agents[name]; a != nil {
 			a.host.pause()
 		}
 	case "resume agent":
-		if a := w.agents[name]; a != nil {
+		if a := tc.agents[name]; a != nil {
 			a.host.resume()
 		}
-	case "leave agent":
-		a := w.agents[name]
+	case "drain agent":
+		a := tc.agents[name]
 		if a == nil {
 			return
 		}
-		delete(w.agents, name)
+		delete(tc.agents, name)
 		a.host.resume()
-		w.wg.Go(func() {
-			ctx, cancel := context.WithTimeout(w.ctx, 30*time.Second)
+		tc.wg.Go(func() {
+			ctx, cancel := context.WithTimeout(tc.ctx, 30*time.Second)
 			defer cancel()
-			a.Leave(ctx)
+			a.Shutdown(ctx)
 			time.Sleep(200 * time.Millisecond)
-			w.net.retire(a.host)
-			a.kill()
+			tc.net.detach(a.host)
+			a.cancel()
 		})
 	default:
-		var none []*worldJob
-		w.play(s, &none)
+		var none []*testJob
+		tc.applyStep(s, &none)
 	}
 }
 
-// Symptom of every fault caught here: a caller gets another's bytes, a truncated
-// answer that looks whole, "not run" for a request that ran, or a second run of a
-// request that may run once. The sequence is drawn: hosts killed, paused and
-// leaving, engines that crash, connections that go silent, resends through the
-// other entry, log outages.
-func TestOnlineStories(t *testing.T) {
+// Guards against responses with another caller's data, truncated answers that
+// look complete, "not run" for a request that ran, and second runs of
+// non-idempotent requests. The random faults are killed, paused and draining
+// hosts, engine crashes, connections that discard all data, retries through the
+// other entry and log outages.
+func TestOnlineRequestsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		steps := drawSteps(rt, onlineKinds, 2, 25)
-		if err := runOnlineStory(t, steps); err != nil {
-			rt.Fatalf("%v\n%s", err, storyText(steps))
+		steps := drawSteps(rt, onlineStepKinds, 2, 25)
+		if err := runOnlineScenario(t, steps); err != nil {
+			rt.Fatalf("%v\n%s", err, formatSteps(steps))
 		}
 	})
 }
--- a/ledger/owner_test.go
+++ b/ledger/owner_test.go
@@ -15,21 +15,21 @@
 	"pumiceford/wire"
 )
 
-// fakeAgent answers every grant at once. It does not return custom ids, as an
-// agent that lost them would not.
+// fakeAgent completes every grant immediately. Its results have no custom_id, so
+// that the owner has to add it.
 type fakeAgent struct {
-	up       chan *wire.FeedUp
+	up       chan *wire.AgentUpdate
 	done     chan struct{}
 	once     sync.Once
 	declared bool
 }
 
 func newFakeAgent() *fakeAgent {
-	return &fakeAgent{up: make(chan *wire.FeedUp, 1024), done: make(chan struct{})}
+	return &fakeAgent{up: make(chan *wire.AgentUpdate, 1024), done: make(chan struct{})}
 }
 
-func (a *fakeAgent) Send(m *wire.FeedDown) error {
-	up := &wire.FeedUp{Models: []string{"m"}, Want: proto.Uint32(256)}
+func (a *fakeAgent) Send(m *wire.OwnerUpdate) error {
+	up := &wire.AgentUpdate{Models: []string{"m"}, Want: proto.Uint32(256)}
 	if !a.declared {
 		a.declared = true
 		up.Declared = []uint32{0}
@@ -45,7 +45,7 @@
 	}
 }
 
-func (a *fakeAgent) Recv(m *wire.FeedUp) error {
+func (a *fakeAgent) Recv(m *wire.AgentUpdate) error {
 	select {
 	case up := <-a.up:
 		proto.Merge(m, up)
@@ -57,12 +57,11 @@
 
 func (a *fakeAgent) Close() { a.once.Do(func() { close(a.done) }) }
 
-// Symptom: a job stands still a few items before its end, although every item
-// was run. Sequence: results fill a record to its limit, the owner adds the
-// caller's ids to them just before the append, and the log refuses the record as
-// too large. Cause: the size was counted before the ids were added, and refused
-// outcomes were dropped.
-func TestResultsFillRecords(t *testing.T) {
+// Guards against a job that never completes although all its items have run. This
+// happens when the size of a full results record is counted before the owner adds
+// the custom_ids: the log rejects the record as too large, and the owner drops
+// its outcomes.
+func TestResultsAtRecordLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -74,34 +73,34 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		job := make([]byte, 16)
-		put := func(req *wire.PeerRequest) {
+		send := func(req *wire.PeerRequest) {
 			if f := o.Serve(ctx, req).GetFailure(); f != nil {
 				t.Fatal(f)
 			}
 		}
-		const each = 100
-		for n := range items / each {
+		const perChunk = 100
+		for n := range items / perChunk {
 			var lines [][]byte
-			for i := range each {
-				line, err := json.Marshal(map[string]any{"custom_id": fmt.Sprint("item-", n*each+i), "body": map[string]any{"model": "m", "prompt": "p"}})
+			for i := range perChunk {
+				line, err := json.Marshal(map[string]any{"custom_id": fmt.Sprint("item-", n*perChunk+i), "body": map[string]any{"model": "m", "prompt": "p"}})
 				if err != nil {
 					t.Fatal(err)
 				}
 				lines = append(lines, line)
 			}
-			put(&wire.PeerRequest{Kind: &wire.PeerRequest_PutChunk{PutChunk: &wire.PutChunk{Workspace: "w", File: job, Number: uint32(n), Lines: lines}}})
+			send(&wire.PeerRequest{Kind: &wire.PeerRequest_PutChunk{PutChunk: &wire.PutChunk{Workspace: "w", File: job, Number: uint32(n), Lines: lines}}})
 		}
-		put(&wire.PeerRequest{Kind: &wire.PeerRequest_SealFile{SealFile: &wire.SealFile{Workspace: "w", File: job, Chunks: items / each, Lines: items}}})
-		put(&wire.PeerRequest{Kind: &wire.PeerRequest_CommitJob{CommitJob: &wire.CommitJob{Job: job, Workspace: "w", File: job, Model: "m"}}})
+		send(&wire.PeerRequest{Kind: &wire.PeerRequest_SealFile{SealFile: &wire.SealFile{Workspace: "w", File: job, Chunks: items / perChunk, Lines: items}}})
+		send(&wire.PeerRequest{Kind: &wire.PeerRequest_CommitJob{CommitJob: &wire.CommitJob{Job: job, Workspace: "w", File: job, Model: "m"}}})
 		go o.Attach(ctx, "agent", newFakeAgent())
 		time.Sleep(time.Minute)
 		info := o.Serve(ctx, &wire.PeerRequest{Kind: &wire.PeerRequest_GetJob{GetJob: &wire.GetJob{Workspace: "w", Job: job}}}).GetJob()
 		if info.GetSucceeded() != items {
-			t.Fatalf("%d of %d items completed, state %s", info.GetSucceeded(), items, info.GetState())
+			t.Fatalf("%d of %d items succeeded, job state %s", info.GetSucceeded(), items, info.GetState())
 		}
 		page := o.Serve(ctx, &wire.PeerRequest{Kind: &wire.PeerRequest_ReadResults{ReadResults: &wire.ReadResults{Workspace: "w", Job: job, From: 1500, Limit: 10}}}).GetResults()
 		if len(page.GetLines()) != 10 || page.GetLines()[3].GetCustomId() != "item-1503" {
-			t.Fatalf("page %v", page)
+			t.Fatalf("got page %v, want 10 lines with custom_id item-1503 in the fourth", page)
 		}
 	})
 }
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -1,6 +1,6 @@
-// Package peers lets entries help each other: one makes calls to the shared
-// store for another that the store refuses, and tells it the newest catalog and
-// targets when it knows none.
+// Package peers implements the calls between entries. An entry makes calls to the
+// shared store for another entry that the store refuses, serves its catalog and targets
+// to entries that have none, and handles calls about jobs and rate-limit grants.
 package peers
 
 import (
@@ -18,38 +18,38 @@
 	"pumiceford/wire"
 )
 
-// Server answers the calls of peers. It calls the store directly only, so that
-// two entries which are both refused do not ask each other in a circle.
+// Server handles the calls of peers. It calls the store only directly, so that two
+// entries that the store refuses do not forward calls to each other in a loop.
 type Server struct {
 	Store store.Client
 	View  *fleet.View
 	Jobs  JobServer
-	// Granter grants requests of the shards that this process acts for.
+	// Granter decides on requests for grants in shards that this process acts for.
 	Granter Granter
-	// Acting returns since when this process has been acting for a shard, and false while
-	// it is not.
-	Acting func(shard int) (since time.Duration, ok bool)
+	// This function returns the time since which this process has acted for a shard, or
+	// false while it does not act for it.
+	ActingSince func(shard int) (since time.Duration, ok bool)
 }
 
-// JobServer carries calls about jobs out.
+// JobServer executes calls about jobs.
 type JobServer interface {
 	Serve(ctx context.Context, call *wire.JobCall) *wire.JobReply
 }
 
-// Handle serves one stream; it is a link.Handler.
+// Handle serves one call on a stream. It is a link.Handler.
 func (s *Server) Handle(ctx context.Context, _ link.Class, call *wire.Call, st *link.Stream) {
 	switch {
 	case call.GetStore() != nil:
 		c := call.GetStore()
 		ctx, cancel := context.WithTimeout(ctx, time.Duration(c.GetTimeoutMs())*time.Millisecond)
 		defer cancel()
-		// A peer that left does not read the reply.
+		// A send fails only if the peer has disconnected.
 		_ = st.Send(s.call(ctx, c))
 	case call.GetJob() != nil:
-		// A peer that left does not read the reply.
+		// A send fails only if the peer has disconnected.
 		_ = st.Send(s.Jobs.Serve(ctx, call.GetJob()))
 	case call.GetGrant() != nil:
-		// An asker that left does not read the reply.
+		// A send fails only if the peer has disconnected.
 		_ = st.Send(s.grant(call.GetGrant()))
 	case call.GetCatalog() != nil:
 		raw, recs := s.View.Export()
@@ -57,18 +57,19 @@
 	}
 }
 
+// call makes a call to the store for a peer.
 func (s *Server) call(ctx context.Context, c *wire.StoreCall) *wire.StoreReply {
 	switch k := c.GetKind().(type) {
 	case *wire.StoreCall_Append:
-		end, err := s.Store.Append(ctx, partition(k.Append.GetPartition()), store.FromWire(k.Append.GetRecords()), k.Append.GetAt())
-		return reply(err, &wire.StoreReply{End: end})
+		end, err := s.Store.Append(ctx, fromWirePartition(k.Append.GetPartition()), store.FromWire(k.Append.GetRecords()), k.Append.GetAt())
+		return encodeReply(err, &wire.StoreReply{End: end})
 	case *wire.StoreCall_Read:
 		wait := time.Duration(k.Read.GetWaitMs()) * time.Millisecond
-		page, err := s.Store.Read(ctx, partition(k.Read.GetPartition()), k.Read.GetFrom(), wait)
-		return reply(err, &wire.StoreReply{First: page.First, End: page.End, Records: store.ToWire(page.Records)})
+		page, err := s.Store.Read(ctx, fromWirePartition(k.Read.GetPartition()), k.Read.GetFrom(), wait)
+		return encodeReply(err, &wire.StoreReply{First: page.First, End: page.End, Records: store.ToWire(page.Records)})
 	case *wire.StoreCall_Newest:
-		snap, err := s.Store.Newest(ctx, partition(k.Newest.GetPartition()), k.Newest.GetAfter())
-		return reply(err, &wire.StoreReply{End: snap.End, More: snap.More, Records: store.ToWire(snap.Records)})
+		snap, err := s.Store.Newest(ctx, fromWirePartition(k.Newest.GetPartition()), k.Newest.GetAfter())
+		return encodeReply(err, &wire.StoreReply{End: snap.End, More: snap.More, Records: store.ToWire(snap.Records)})
 	case *wire.StoreCall_Join:
 		m, err := s.Store.Join(ctx, store.JoinRequest{
 			Group: k.Join.GetGroup(), Member: k.Join.GetMember(), Topics: k.Join.GetTopics(),
@@ -78,13 +79,13 @@
 		for _, p := range m.Partitions {
 			out.Partitions = append(out.Partitions, &wire.StorePartition{Topic: p.Topic, Number: uint32(p.Number)})
 		}
-		return reply(err, out)
+		return encodeReply(err, out)
 	}
 	return &wire.StoreReply{Outcome: wire.StoreReply_REFUSED}
 }
 
-// reply encodes an error, or returns ok when there is none.
-func reply(err error, ok *wire.StoreReply) *wire.StoreReply {
+// encodeReply encodes err, or returns ok when err is nil.
+func encodeReply(err error, ok *wire.StoreReply) *wire.StoreReply {
 	var conflict *store.ConflictError
 	var trimmed *store.TrimmedError
 	switch {
@@ -102,8 +103,8 @@
 	return &wire.StoreReply{Outcome: wire.StoreReply_UNKNOWN}
 }
 
-// failure decodes what reply encoded.
-func failure(r *wire.StoreReply) error {
+// decodeError decodes the error that encodeReply encoded.
+func decodeError(r *wire.StoreReply) error {
 	switch r.GetOutcome() {
 	case wire.StoreReply_OK:
 		return nil
@@ -120,91 +121,93 @@
 	return store.ErrUnavailable
 }
 
-func partition(p *wire.StorePartition) store.Partition {
+func fromWirePartition(p *wire.StorePartition) store.Partition {
 	return store.Partition{Topic: p.GetTopic(), Number: int(p.GetNumber())}
 }
 
-func toPartition(p store.Partition) *wire.StorePartition {
+func toWirePartition(p store.Partition) *wire.StorePartition {
 	return &wire.StorePartition{Topic: p.Topic, Number: uint32(p.Number)}
 }
 
-// Way is the way to the store through one peer. It implements store.Peer.
-type Way struct {
+// PeerStore calls the store through one peer. It implements store.Peer.
+type PeerStore struct {
 	peer *link.Peer
 }
 
-func (w Way) call(ctx context.Context, c *wire.StoreCall) (*wire.StoreReply, error) {
-	if dl, ok := ctx.Deadline(); ok {
-		c.TimeoutMs = uint32(max(time.Until(dl).Milliseconds(), 0))
+// call makes one call to the peer. It marks errors with store.ErrRefused or
+// store.ErrUnavailable.
+func (s PeerStore) call(ctx context.Context, c *wire.StoreCall) (*wire.StoreReply, error) {
+	if deadline, ok := ctx.Deadline(); ok {
+		c.TimeoutMs = uint32(max(time.Until(deadline).Milliseconds(), 0))
 	}
 	r := &wire.StoreReply{}
-	err := w.peer.Call(ctx, link.Control, &wire.Call{Kind: &wire.Call_Store{Store: c}}, r)
-	var dial *link.DialError
+	err := s.peer.Call(ctx, link.Control, &wire.Call{Kind: &wire.Call_Store{Store: c}}, r)
+	var dialErr *link.DialError
 	switch {
-	case errors.As(err, &dial):
-		return nil, errors.Mark(err, store.ErrRefused) // it was never sent
+	case errors.As(err, &dialErr):
+		return nil, errors.Mark(err, store.ErrRefused) // the call was not sent
 	case err != nil:
 		return nil, errors.Mark(err, store.ErrUnavailable)
 	}
-	return r, failure(r)
+	return r, decodeError(r)
 }
 
 // Append implements store.Log.
-func (w Way) Append(ctx context.Context, p store.Partition, recs []store.Record, at int64) (int64, error) {
-	r, err := w.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Append{Append: &wire.StoreAppend{
-		Partition: toPartition(p), Records: store.ToWire(recs), At: at,
+func (s PeerStore) Append(ctx context.Context, p store.Partition, recs []store.Record, at int64) (int64, error) {
+	r, err := s.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Append{Append: &wire.StoreAppend{
+		Partition: toWirePartition(p), Records: store.ToWire(recs), At: at,
 	}}})
 	return r.GetEnd(), err
 }
 
 // Read implements store.Log.
-func (w Way) Read(ctx context.Context, p store.Partition, from int64, wait time.Duration) (store.Page, error) {
-	r, err := w.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Read{Read: &wire.StoreRead{
-		Partition: toPartition(p), From: from, WaitMs: uint32(wait.Milliseconds()),
+func (s PeerStore) Read(ctx context.Context, p store.Partition, from int64, wait time.Duration) (store.Page, error) {
+	r, err := s.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Read{Read: &wire.StoreRead{
+		Partition: toWirePartition(p), From: from, WaitMs: uint32(wait.Milliseconds()),
 	}}})
 	return store.Page{Records: store.FromWire(r.GetRecords()), First: r.GetFirst(), End: r.GetEnd()}, err
 }
 
 // Newest implements store.Log.
-func (w Way) Newest(ctx context.Context, p store.Partition, after string) (store.Snapshot, error) {
-	r, err := w.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Newest{Newest: &wire.StoreNewest{
-		Partition: toPartition(p), After: after,
+func (s PeerStore) Newest(ctx context.Context, p store.Partition, after string) (store.Snapshot, error) {
+	r, err := s.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Newest{Newest: &wire.StoreNewest{
+		Partition: toWirePartition(p), After: after,
 	}}})
 	return store.Snapshot{Records: store.FromWire(r.GetRecords()), More: r.GetMore(), End: r.GetEnd()}, err
 }
 
 // Join implements store.Joiner.
-func (w Way) Join(ctx context.Context, req store.JoinRequest) (store.Membership, error) {
-	r, err := w.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Join{Join: &wire.StoreJoin{
+func (s PeerStore) Join(ctx context.Context, req store.JoinRequest) (store.Membership, error) {
+	r, err := s.call(ctx, &wire.StoreCall{Kind: &wire.StoreCall_Join{Join: &wire.StoreJoin{
 		Group: req.Group, Member: req.Member, Topics: req.Topics,
 		TtlMs: uint32(req.TTL.Milliseconds()), Generation: req.Generation,
 	}}})
 	m := store.Membership{Generation: r.GetGeneration()}
 	for _, p := range r.GetPartitions() {
-		m.Partitions = append(m.Partitions, partition(p))
+		m.Partitions = append(m.Partitions, fromWirePartition(p))
 	}
 	return m, err
 }
 
-// Caller makes calls about jobs at any entry, each over a session of its own: an entry
-// asks each of the others some times a minute, and sessions that were kept would cost
-// more heartbeats than calls.
-type Caller struct {
+// JobClient makes calls about jobs to other entries. It opens a new session for each call: an
+// entry calls each other entry only a few times per minute, so persistent sessions would
+// cost more heartbeats than calls.
+type JobClient struct {
 	cfg link.Config
 }
 
-// callerDial bounds connecting, which takes one round trip.
-const callerDial = 250 * time.Millisecond
+// jobDialTimeout bounds opening a connection, which takes one round trip.
+const jobDialTimeout = 250 * time.Millisecond
 
-// NewCaller returns a Caller.
-func NewCaller(cfg link.Config) *Caller {
-	cfg.DialTimeout = callerDial
-	return &Caller{cfg: cfg}
+// NewJobClient returns a client that dials with jobDialTimeout.
+func NewJobClient(cfg link.Config) *JobClient {
+	cfg.DialTimeout = jobDialTimeout
+	return &JobClient{cfg: cfg}
 }
 
-// Call carries a call out at an address. It fails with a link.DialError when it was
-// never sent.
-func (c *Caller) Call(ctx context.Context, addr string, call *wire.JobCall) (*wire.JobReply, error) {
+// Call makes a call to the entry at addr. It fails with a link.DialError when the call was
+// not sent.
+func (c *JobClient) Call(ctx context.Context, addr string, call *wire.JobCall) (*wire.JobReply, error) {
 	peer := link.NewPeer(c.cfg, addr)
 	defer peer.Close()
 	reply := &wire.JobReply{}
@@ -214,81 +217,82 @@
 	return reply, nil
 }
 
-// maxPeers bounds the peers that an entry keeps in mind: enough for one to be
-// served by the store when a third of all hosts is not.
+// maxPeers bounds the peers of an entry. It is enough that the store very likely serves
+// at least one of them while it refuses a third of all hosts.
 const maxPeers = 4
 
-// Ring keeps the links to the peers of one entry.
-type Ring struct {
+// Pool keeps the sessions with the peers of one entry. It is safe for concurrent use.
+type Pool struct {
 	self string // address of this entry
 	cfg  link.Config
 
-	mu    sync.Mutex
-	links map[string]*link.Peer
-	order []string
+	mu         sync.Mutex
+	connByAddr map[string]*link.Peer
+	order      []string // addresses of the peers, in rotating order
 }
 
-// NewRing returns a Ring that knows the seeds.
-func NewRing(self string, cfg link.Config, seeds []string) *Ring {
-	r := &Ring{self: self, cfg: cfg, links: make(map[string]*link.Peer)}
+// NewPool returns a set of peers that starts with the seeds.
+func NewPool(self string, cfg link.Config, seeds []string) *Pool {
+	r := &Pool{self: self, cfg: cfg, connByAddr: make(map[string]*link.Peer)}
 	r.Set(seeds)
 	return r
 }
 
-// Set replaces the known peers. Each entry keeps others in mind, so that one
-// that dies is not the way of all.
-func (r *Ring) Set(addrs []string) {
-	var others []string
+// Set replaces the known peers. Entries select different peers, so that the failure of one
+// peer does not affect all entries. The known peers stay if addrs contains no other
+// entry.
+func (r *Pool) Set(addrs []string) {
+	var candidates []string
 	for _, a := range addrs {
-		if a != r.self && a != "" && !slices.Contains(others, a) {
-			others = append(others, a)
+		if a != r.self && a != "" && !slices.Contains(candidates, a) {
+			candidates = append(candidates, a)
 		}
 	}
-	if len(others) == 0 {
-		return // who was known stays
+	if len(candidates) == 0 {
+		return
 	}
-	keep := routing.Top(others, routing.Score(r.self, 1), maxPeers)
+	selected := routing.Top(candidates, routing.Score(r.self, 1), maxPeers)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.order = keep
-	for addr, p := range r.links {
-		if !slices.Contains(keep, addr) {
+	r.order = selected
+	for addr, p := range r.connByAddr {
+		if !slices.Contains(selected, addr) {
 			p.Close()
-			delete(r.links, addr)
+			delete(r.connByAddr, addr)
 		}
 	}
 }
 
-// Close closes the links to all peers.
-func (r *Ring) Close() {
+// Close closes the sessions with all peers.
+func (r *Pool) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for addr, p := range r.links {
+	for addr, p := range r.connByAddr {
 		p.Close()
-		delete(r.links, addr)
+		delete(r.connByAddr, addr)
 	}
 }
 
-// all returns the links, dialled when first used.
-func (r *Ring) all() []*link.Peer {
+// connections returns the sessions with all peers, each of which dials on its first call.
+func (r *Pool) connections() []*link.Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []*link.Peer
 	for _, addr := range r.order {
-		if r.links[addr] == nil {
-			r.links[addr] = link.NewPeer(r.cfg, addr)
+		if r.connByAddr[addr] == nil {
+			r.connByAddr[addr] = link.NewPeer(r.cfg, addr)
 		}
-		out = append(out, r.links[addr])
+		out = append(out, r.connByAddr[addr])
 	}
 	return out
 }
 
-// Ways returns the ways to the store through the peers, another one first each
-// time.
-func (r *Ring) Ways() []store.Peer {
+// StorePeers returns clients of the store through the peers. It rotates their order on each
+// call.
+func (r *Pool) StorePeers() []store.Peer {
 	var out []store.Peer
-	for _, p := range r.all() {
-		out = append(out, Way{peer: p})
+	for _, p := range r.connections() {
+		out = append(out, PeerStore{peer: p})
 	}
 	r.mu.Lock()
 	if len(r.order) > 1 {
@@ -298,15 +302,16 @@
 	return out
 }
 
-// fetchTimeout bounds one question for a catalog.
+// fetchTimeout bounds one request for a catalog.
 const fetchTimeout = 500 * time.Millisecond
 
-// Fetch asks the peers for the newest catalog and targets until one knows any.
-func (r *Ring) Fetch(ctx context.Context, view *fleet.View) {
-	for _, p := range r.all() {
-		one, cancel := context.WithTimeout(ctx, fetchTimeout)
+// Fetch asks the peers in turn for their catalog and targets, until one returns them, and
+// imports these into view.
+func (r *Pool) Fetch(ctx context.Context, view *fleet.View) {
+	for _, p := range r.connections() {
+		callCtx, cancel := context.WithTimeout(ctx, fetchTimeout)
 		reply := &wire.CatalogReply{}
-		err := p.Call(one, link.Control, &wire.Call{Kind: &wire.Call_Catalog{Catalog: &wire.CatalogFetch{}}}, reply)
+		err := p.Call(callCtx, link.Control, &wire.Call{Kind: &wire.Call_Catalog{Catalog: &wire.CatalogFetch{}}}, reply)
 		cancel()
 		if err == nil && len(reply.GetCatalog()) > 0 {
 			view.Import(reply.GetCatalog(), store.FromWire(reply.GetTargets()), "peer")
--- a/store/follower.go
+++ b/store/follower.go
@@ -10,44 +10,45 @@
 	"pumiceford/internal/wait"
 )
 
-// Sink receives the records of a followed partition, one call at a time and in
-// their order.
+// Sink receives the records of a followed partition. The follower makes one call at a
+// time and delivers records in offset order.
 type Sink interface {
-	// Reset replaces all state by the newest records of all keys.
+	// Reset replaces the whole state with the newest record of each key.
 	Reset(recs []Record)
-	// Apply takes records that came together, in their order.
+	// Apply applies a batch of consecutive records.
 	Apply(recs ...Record)
 }
 
-// FollowSettings shape a Follower.
-type FollowSettings struct {
-	// Wait is how long one read waits for records. A connection that has gone
-	// silent is noticed that much later at most.
+// FollowerConfig configures a Follower.
+type FollowerConfig struct {
+	// Wait is how long one read waits for records. It bounds the delay until an
+	// unresponsive connection is detected.
 	Wait time.Duration
-	// Pause is left between reads that return records, so that a busy partition
-	// costs a bounded number of calls.
+	// Pause is the delay after a read that returns records. It bounds the rate of
+	// calls for a busy partition.
 	Pause time.Duration
-	// OnTrouble is told of the first read that fails, OnContact of the first that
-	// succeeds after it.
-	OnTrouble func(err error)
-	OnContact func(away time.Duration)
-	// Loads bounds the whole partitions that are read at a time; nil sets no bound.
-	Loads Loads
-	// Clock is a steady clock for Confirmed; nil where that is not used.
+	// OnFailure is called on the first failed read of an outage, OnRecovery on the first
+	// read that succeeds after it, with the length of the outage.
+	OnFailure  func(err error)
+	OnRecovery func(outage time.Duration)
+	// This semaphore bounds the number of concurrent full reads of partitions; nil sets
+	// no bound.
+	LoadLimit LoadLimit
+	// Clock is a monotonic clock for confirmation times; nil if they are not used.
 	Clock func() time.Duration
 }
 
-// Loads bounds how many whole partitions a process reads at a time. Many at once over a
-// narrow link would all run into their timeouts and begin again.
-type Loads chan struct{}
+// LoadLimit is a semaphore that bounds how many partitions a process loads in full at a time.
+// Many concurrent loads over a slow link would all time out and start again.
+type LoadLimit chan struct{}
 
-// NewLoads returns Loads that let n partitions be read at a time.
-func NewLoads(n int) Loads {
-	return make(Loads, n)
+// NewLoadLimit returns a semaphore that permits n concurrent loads.
+func NewLoadLimit(n int) LoadLimit {
+	return make(LoadLimit, n)
 }
 
-// enter waits for a turn. The caller calls leave when it has read its partition.
-func (l Loads) enter(ctx context.Context) (leave func(), err error) {
+// acquire waits until a load is permitted. The caller calls release after the load.
+func (l LoadLimit) acquire(ctx context.Context) (release func(), err error) {
 	if l == nil {
 		return func() {}, nil
 	}
@@ -59,108 +60,110 @@
 	}
 }
 
-// Bounds of following.
+// Timeouts and delays of a Follower.
 const (
-	// readSlack is added to a read's wait before it counts as lost.
-	readSlack = 700 * time.Millisecond
-	// retryFirst and retryMost bound the pause after failed reads.
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
-	// loadTurn is how long a load that another caller has begun is waited for. It may
-	// hang on a connection that has gone silent.
-	loadTurn = 500 * time.Millisecond
-	// checkTimeout bounds one look at the end of a partition.
+	// readTimeoutMargin is added to the wait time of a read to get its timeout.
+	readTimeoutMargin = 700 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the exponential back-off after failed reads.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
+	// sharedLoadWait is how long a caller waits for a load started by another caller, which
+	// may hang on an unresponsive connection.
+	sharedLoadWait = 500 * time.Millisecond
+	// checkTimeout bounds reading up to the end of a partition.
 	checkTimeout = time.Second
 )
 
-// Follower keeps a Sink up to date with one partition.
+// Follower keeps a Sink up to date with one partition. Its methods may be called
+// concurrently.
 type Follower struct {
-	log  Log
-	part Partition
-	set  FollowSettings
+	log       Log
+	partition Partition
+	cfg       FollowerConfig
 
-	mu      sync.Mutex
-	sink    Sink
-	loaded  bool
-	loads   int           // how often the whole partition was read
-	loading chan struct{} // one load of this partition at a time
-	next    int64         // offset of the next record to apply
-	asOf    time.Time     // the state is known to be complete up to this moment
-	// confirmed is when the last read that reached the end was begun, by set.Clock.
-	confirmed    time.Duration
-	wasConfirmed bool
-	checker      chan struct{}
-	changed      chan struct{} // closed and replaced at each change
+	mu         sync.Mutex
+	sink       Sink
+	loaded     bool
+	loadsDone  int           // number of completed full loads
+	loadSem    chan struct{} // serialises full loads of this partition
+	nextOffset int64         // offset of the next record to apply
+	asOf       time.Time     // time up to which the state is known to be complete
+	// confirmedAt is the start, by cfg.Clock, of the last read that reached the end.
+	confirmedAt  time.Duration
+	hasConfirmed bool
+	checkSem     chan struct{} // serialises reads up to the end of the partition
+	changed      chan struct{} // closed and replaced on each change
 }
 
-// NewFollower returns a Follower. It reads nothing before Run or Catch.
-func NewFollower(log Log, part Partition, sink Sink, set FollowSettings) *Follower {
-	if set.OnTrouble == nil {
-		set.OnTrouble = func(error) {}
+// NewFollower returns a Follower. It makes no reads until one of its methods is
+// called.
+func NewFollower(log Log, part Partition, sink Sink, cfg FollowerConfig) *Follower {
+	if cfg.OnFailure == nil {
+		cfg.OnFailure = func(error) {}
 	}
-	if set.Clock == nil {
-		set.Clock = func() time.Duration { return 0 }
+	if cfg.Clock == nil {
+		cfg.Clock = func() time.Duration { return 0 }
 	}
-	if set.OnContact == nil {
-		set.OnContact = func(time.Duration) {}
+	if cfg.OnRecovery == nil {
+		cfg.OnRecovery = func(time.Duration) {}
 	}
 	return &Follower{
-		log: log, part: part, sink: sink, set: set,
-		checker: make(chan struct{}, 1),
-		loading: make(chan struct{}, 1),
-		changed: make(chan struct{}),
+		log: log, partition: part, sink: sink, cfg: cfg,
+		checkSem: make(chan struct{}, 1),
+		loadSem:  make(chan struct{}, 1),
+		changed:  make(chan struct{}),
 	}
 }
 
-// Run follows the partition until ctx ends.
+// Run follows the partition until ctx is cancelled.
 func (f *Follower) Run(ctx context.Context) {
-	pause := retryFirst
-	var since time.Time
+	retryDelay := minRetryDelay
+	var failedSince time.Time
 	for ctx.Err() == nil {
-		got, err := f.step(ctx)
+		received, err := f.readOnce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			if since.IsZero() {
-				since = time.Now()
-				f.set.OnTrouble(err)
+			if failedSince.IsZero() {
+				failedSince = time.Now()
+				f.cfg.OnFailure(err)
 			}
-			_ = wait.For(ctx, pause)
-			pause = min(2*pause, retryMost)
+			_ = wait.For(ctx, retryDelay)
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 			continue
 		}
-		if !since.IsZero() {
-			f.set.OnContact(time.Since(since))
-			since = time.Time{}
+		if !failedSince.IsZero() {
+			f.cfg.OnRecovery(time.Since(failedSince))
+			failedSince = time.Time{}
 		}
-		pause = retryFirst
-		if got {
-			_ = wait.For(ctx, f.set.Pause)
+		retryDelay = minRetryDelay
+		if received {
+			_ = wait.For(ctx, f.cfg.Pause)
 		}
 	}
 }
 
-// step makes one read. It reports whether records came.
-func (f *Follower) step(ctx context.Context) (bool, error) {
+// readOnce loads the partition or makes one read. It reports whether it received records.
+func (f *Follower) readOnce(ctx context.Context) (bool, error) {
 	f.mu.Lock()
-	loaded, from := f.loaded, f.next
+	loaded, from := f.loaded, f.nextOffset
 	f.mu.Unlock()
 	if !loaded {
 		return true, f.load(ctx)
 	}
-	return f.read(ctx, from, f.set.Wait)
+	return f.read(ctx, from, f.cfg.Wait)
 }
 
-// load reads the whole partition. Callers at the same time share one load: two
-// of them would take twice the link for the same records.
+// load reads the whole partition. Concurrent callers share one load, since each further
+// one would transfer the same records again.
 func (f *Follower) load(ctx context.Context) error {
 	before := f.loadCount()
-	timer := time.NewTimer(loadTurn)
+	timer := time.NewTimer(sharedLoadWait)
 	defer timer.Stop()
 	select {
-	case f.loading <- struct{}{}:
-		defer func() { <-f.loading }()
+	case f.loadSem <- struct{}{}:
+		defer func() { <-f.loadSem }()
 	case <-timer.C:
 	case <-ctx.Done():
 		return errors.Mark(ctx.Err(), ErrUnavailable)
@@ -168,47 +171,50 @@
 	if f.loadCount() != before {
 		return nil
 	}
-	leave, err := f.set.Loads.enter(ctx)
+	release, err := f.cfg.LoadLimit.acquire(ctx)
 	if err != nil {
 		return err
 	}
-	defer leave()
+	defer release()
 	return f.loadNow(ctx)
 }
 
 func (f *Follower) loadCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.loads
+	return f.loadsDone
 }
 
+// loadNow reads the whole partition and replaces the state.
 func (f *Follower) loadNow(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, f.set.Wait+readSlack)
+	ctx, cancel := context.WithTimeout(ctx, f.cfg.Wait+readTimeoutMargin)
 	defer cancel()
-	began, clock := time.Now(), f.set.Clock()
-	snap, err := NewestAll(ctx, f.log, f.part)
+	start, startClock := time.Now(), f.cfg.Clock()
+	snap, err := NewestAll(ctx, f.log, f.partition)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.loads++
-	if f.loaded && snap.End < f.next {
-		return nil // it went on by reads meanwhile
+	f.loadsDone++
+	if f.loaded && snap.End < f.nextOffset {
+		return nil // concurrent reads have already moved past the snapshot
 	}
 	f.sink.Reset(snap.Records)
-	f.loaded, f.next = true, snap.End
-	f.freshLocked(began)
-	f.confirmLocked(clock)
-	f.wakeLocked()
+	f.loaded, f.nextOffset = true, snap.End
+	f.advanceAsOfLocked(start)
+	f.confirmLocked(startClock)
+	f.notifyLocked()
 	return nil
 }
 
+// read makes one read and applies its records, or loads the partition if records at from
+// are no longer retained. It reports whether the read returned records.
 func (f *Follower) read(ctx context.Context, from int64, wait time.Duration) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+readSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeoutMargin)
 	defer cancel()
-	began, clock := time.Now(), f.set.Clock()
-	page, err := f.log.Read(ctx, f.part, from, wait)
+	start, startClock := time.Now(), f.cfg.Clock()
+	page, err := f.log.Read(ctx, f.partition, from, wait)
 	var trimmed *TrimmedError
 	if errors.As(err, &trimmed) {
 		return false, f.load(ctx)
@@ -221,71 +227,73 @@
 	f.applyLocked(page.Records)
 	switch {
 	case len(page.Records) == 0:
-		f.freshLocked(began.Add(wait)) // the store waited that long in vain
-	case f.next >= page.End:
-		f.freshLocked(began)
+		f.advanceAsOfLocked(start.Add(wait)) // no record arrived while the store waited
+	case f.nextOffset >= page.End:
+		f.advanceAsOfLocked(start)
 	}
-	if f.next >= page.End {
-		f.confirmLocked(clock)
+	if f.nextOffset >= page.End {
+		f.confirmLocked(startClock)
 	}
 	return len(page.Records) > 0, nil
 }
 
-// applyLocked takes the records that were not applied yet. f.mu is held.
+// applyLocked applies the records that have not been applied yet. f.mu is held.
 func (f *Follower) applyLocked(recs []Record) {
-	var fresh []Record
+	var unapplied []Record
 	for _, r := range recs {
-		if r.Offset != f.next {
-			continue // applied by a read that ran beside this one
+		if r.Offset != f.nextOffset {
+			continue // already applied by a concurrent read
 		}
-		fresh = append(fresh, r)
-		f.next = r.Offset + 1
+		unapplied = append(unapplied, r)
+		f.nextOffset = r.Offset + 1
 	}
-	if len(fresh) > 0 {
-		f.sink.Apply(fresh...)
-		f.wakeLocked()
+	if len(unapplied) > 0 {
+		f.sink.Apply(unapplied...)
+		f.notifyLocked()
 	}
 }
 
-func (f *Follower) freshLocked(at time.Time) {
+func (f *Follower) advanceAsOfLocked(at time.Time) {
 	if at.After(f.asOf) {
 		f.asOf = at
 	}
 }
 
 func (f *Follower) confirmLocked(at time.Duration) {
-	f.confirmed, f.wasConfirmed = max(f.confirmed, at), true
+	f.confirmedAt, f.hasConfirmed = max(f.confirmedAt, at), true
 }
 
-// Confirmed returns a moment, by the clock of the settings, at which the state held all
-// that had been written. It counts from the begin of a read: a read that waits for
-// records may miss one that is written meanwhile. It reports false before the first one.
-func (f *Follower) Confirmed() (time.Duration, bool) {
+// ConfirmedAt returns the latest time, by the configured clock, at which the state is known to
+// have held all records of the partition. This is the start of a read, since a read that
+// waits for records may miss one that is written meanwhile. It reports false until a read has
+// reached the end of the partition.
+func (f *Follower) ConfirmedAt() (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.confirmed, f.wasConfirmed
+	return f.confirmedAt, f.hasConfirmed
 }
 
-func (f *Follower) wakeLocked() {
+func (f *Follower) notifyLocked() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// Catch makes sure that the state is at most maxAge old, reading the partition's
-// end when it may be older. Callers at the same time share one read.
-func (f *Follower) Catch(ctx context.Context, maxAge time.Duration) error {
+// CatchUp ensures that the state is at most maxAge old. If it may be older, it reads up to the
+// end of the partition; concurrent callers share that read.
+func (f *Follower) CatchUp(ctx context.Context, maxAge time.Duration) error {
 	oldest := time.Now().Add(-maxAge)
-	return f.checkUnless(ctx, func() bool { return !f.AsOf().Before(oldest) })
+	return f.readToEndUnless(ctx, func() bool { return !f.AsOf().Before(oldest) })
 }
 
-// Confirm makes sure that Confirmed is at most maxAge ago, as Catch does for the state.
+// Confirm ensures that the last confirmation is at most maxAge ago. Otherwise it reads up to
+// the end of the partition; concurrent callers share that read.
 func (f *Follower) Confirm(ctx context.Context, maxAge time.Duration) error {
-	oldest := f.set.Clock() - maxAge
+	oldest := f.cfg.Clock() - maxAge
 	confirmed := func() bool {
-		at, ok := f.Confirmed()
+		at, ok := f.ConfirmedAt()
 		return ok && at >= oldest
 	}
-	if err := f.checkUnless(ctx, confirmed); err != nil {
+	if err := f.readToEndUnless(ctx, confirmed); err != nil {
 		return err
 	}
 	if !confirmed() {
@@ -294,64 +302,65 @@
 	return nil
 }
 
-// errUnconfirmed says that a read succeeded without showing the partition's end, as one
-// that was shared with an earlier caller.
-var errUnconfirmed = errors.New("partition's end was not read")
+// errUnconfirmed reports that a read succeeded without reaching the partition's end
+// recently enough, for example a read shared with an earlier caller.
+var errUnconfirmed = errors.New("read did not confirm the end of the partition")
 
-// checkUnless reads the partition's end unless enough reports that this is not needed.
-func (f *Follower) checkUnless(ctx context.Context, enough func() bool) error {
-	if enough() {
+// readToEndUnless reads up to the end of the partition unless isCurrent returns true.
+func (f *Follower) readToEndUnless(ctx context.Context, isCurrent func() bool) error {
+	if isCurrent() {
 		return nil
 	}
 	select {
-	case f.checker <- struct{}{}:
+	case f.checkSem <- struct{}{}:
 	case <-ctx.Done():
 		return errors.Mark(ctx.Err(), ErrUnavailable)
 	}
-	defer func() { <-f.checker }()
-	// The read that was waited for may have served this caller as well.
-	if enough() {
+	defer func() { <-f.checkSem }()
+	// The read of another caller may have brought the state up to date meanwhile.
+	if isCurrent() {
 		return nil
 	}
-	return f.check(ctx)
+	return f.readToEnd(ctx)
 }
 
-func (f *Follower) check(ctx context.Context) error {
+// readToEnd makes reads that do not wait until one returns no records.
+func (f *Follower) readToEnd(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	for {
 		f.mu.Lock()
-		loaded, from := f.loaded, f.next
+		loaded, from := f.loaded, f.nextOffset
 		f.mu.Unlock()
 		if !loaded {
 			if err := f.load(ctx); err != nil {
 				return err
 			}
-			continue // a load that was shared may have begun before this was asked
+			continue // a shared load may have started before this call
 		}
-		got, err := f.read(ctx, from, 0)
-		if err != nil || !got {
+		received, err := f.read(ctx, from, 0)
+		if err != nil || !received {
 			return err
 		}
 	}
 }
 
-// Look calls fn with the state locked, the offset at which the partition was
-// seen to end, and a channel that is closed at the next change. It reports false
-// without a call while nothing was loaded.
-func (f *Follower) Look(fn func(end int64, changed <-chan struct{})) bool {
+// View calls fn with the lock of the follower held, so that fn may read the state of the
+// sink. It passes the offset of the next record to apply and a channel that is closed at the
+// next change. It reports false, without calling fn, while nothing has been loaded.
+func (f *Follower) View(fn func(end int64, changed <-chan struct{})) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.loaded {
 		return false
 	}
-	fn(f.next, f.changed)
+	fn(f.nextOffset, f.changed)
 	return true
 }
 
-// Appended takes records that an append put at an offset, without waiting for
-// the read that will bring them.
-func (f *Follower) Appended(recs []Record, at int64) {
+// ApplyAppended applies records that an append of this process wrote at offset at, without
+// waiting for the read that returns them. It sets the offsets in recs.
+func (f *Follower) ApplyAppended(recs []Record, at int64) {
 	for i := range recs {
 		recs[i].Offset = at + int64(i)
 	}
@@ -360,7 +369,7 @@
 	f.applyLocked(recs)
 }
 
-// AsOf returns the moment up to which the state is known to be complete.
+// AsOf returns the time up to which the state is known to be complete.
 func (f *Follower) AsOf() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/store/observed.go
+++ b/store/observed.go
@@ -7,19 +7,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Observed is a Client that tells of each call: its name, its outcome and how
-// long it took.
-type Observed struct {
-	client Client
-	told   func(call, outcome string, took time.Duration)
+// Instrumented is a Client that reports the name, outcome and duration of each call
+// to a callback.
+type Instrumented struct {
+	client  Client
+	observe func(call, outcome string, took time.Duration)
 }
 
-// NewObserved returns an Observed.
-func NewObserved(client Client, told func(call, outcome string, took time.Duration)) *Observed {
-	return &Observed{client: client, told: told}
+// NewInstrumented returns a Client that forwards calls to client and reports each of them to
+// observe after it returns.
+func NewInstrumented(client Client, observe func(call, outcome string, took time.Duration)) *Instrumented {
+	return &Instrumented{client: client, observe: observe}
 }
 
-// outcome names an error for counters.
+// outcome maps an error to its label in metrics.
 func outcome(err error) string {
 	var conflict *ConflictError
 	var trimmed *TrimmedError
@@ -38,54 +39,54 @@
 	return "no_answer"
 }
 
-func (o *Observed) done(call string, began time.Time, err error) {
-	o.told(call, outcome(err), time.Since(began))
+func (o *Instrumented) record(call string, start time.Time, err error) {
+	o.observe(call, outcome(err), time.Since(start))
 }
 
 // Append implements Log.
-func (o *Observed) Append(ctx context.Context, p Partition, recs []Record, at int64) (int64, error) {
-	began := time.Now()
+func (o *Instrumented) Append(ctx context.Context, p Partition, recs []Record, at int64) (int64, error) {
+	start := time.Now()
 	end, err := o.client.Append(ctx, p, recs, at)
-	o.done("append", began, err)
+	o.record("append", start, err)
 	return end, err
 }
 
 // Read implements Log.
-func (o *Observed) Read(ctx context.Context, p Partition, from int64, wait time.Duration) (Page, error) {
-	began := time.Now()
+func (o *Instrumented) Read(ctx context.Context, p Partition, from int64, wait time.Duration) (Page, error) {
+	start := time.Now()
 	page, err := o.client.Read(ctx, p, from, wait)
-	o.done("read", began, err)
+	o.record("read", start, err)
 	return page, err
 }
 
 // Newest implements Log.
-func (o *Observed) Newest(ctx context.Context, p Partition, after string) (Snapshot, error) {
-	began := time.Now()
+func (o *Instrumented) Newest(ctx context.Context, p Partition, after string) (Snapshot, error) {
+	start := time.Now()
 	snap, err := o.client.Newest(ctx, p, after)
-	o.done("newest", began, err)
+	o.record("newest", start, err)
 	return snap, err
 }
 
 // Join implements Groups.
-func (o *Observed) Join(ctx context.Context, req JoinRequest) (Membership, error) {
-	began := time.Now()
+func (o *Instrumented) Join(ctx context.Context, req JoinRequest) (Membership, error) {
+	start := time.Now()
 	m, err := o.client.Join(ctx, req)
-	o.done("join", began, err)
+	o.record("join", start, err)
 	return m, err
 }
 
 // Leave implements Groups.
-func (o *Observed) Leave(ctx context.Context, group, member string) error {
-	began := time.Now()
+func (o *Instrumented) Leave(ctx context.Context, group, member string) error {
+	start := time.Now()
 	err := o.client.Leave(ctx, group, member)
-	o.done("leave", began, err)
+	o.record("leave", start, err)
 	return err
 }
 
 // Owners implements Groups.
-func (o *Observed) Owners(ctx context.Context, group string) ([]Owner, error) {
-	began := time.Now()
+func (o *Instrumented) Owners(ctx context.Context, group string) ([]Owner, error) {
+	start := time.Now()
 	owners, err := o.client.Owners(ctx, group)
-	o.done("owners", began, err)
+	o.record("owners", start, err)
 	return owners, err
 }
