--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -45,7 +45,7 @@
 	OtherInstance
 )
 
-// Response is a target's reply to a call. Whoever receives it closes Body.
+// Response is a target's response to a call. The receiver must close Body.
 type Response struct {
 	Outcome       Outcome
 	Status        int
@@ -80,7 +80,7 @@
 // The faults.
 const (
 	FaultConnect  Fault = "connect"  // no connection to the target was established
-	FaultBroken   Fault = "broken"   // the connection ended before the response
+	FaultBroken   Fault = "broken"   // the connection ended before the complete response
 	FaultInvalid  Fault = "spoiled"  // the data received is not a valid response to this call
 	FaultCanceled Fault = "canceled" // the call's context ended
 )
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -18,7 +18,7 @@
 
 // maxBufferedBodyBytes is the size below which a response that is not an event stream is
 // read in full before any of it is sent to the caller. If the target fails meanwhile, the
-// request can still be retried elsewhere.
+// request can still be retried at another target.
 const maxBufferedBodyBytes = 1 << 20
 
 // watchdog polls a condition while a send waits for its target, and cancels the send when
@@ -86,8 +86,7 @@
 		se = &exchange.SendError{Fault: exchange.FaultBroken, Sent: true, Cause: err}
 	}
 	if s.ctx.Err() != nil {
-		// The caller disconnected or the deadline passed; neither says anything about the
-		// target.
+		// The caller disconnected or the deadline passed; neither is a fault of the target.
 		s.fail(TimedOut, 0)
 		return finished
 	}
@@ -120,11 +119,11 @@
 }
 
 // handleNotRun decides what to do after a target reported that it did not run the request.
-func (s *requestState) handleNotRun(in targets.Instance, ans *exchange.Response) step {
+func (s *requestState) handleNotRun(in targets.Instance, resp *exchange.Response) step {
 	s.possibleRuns--
 	s.tried[in.ID] = true
 	reason := "full"
-	if ans.Outcome == exchange.OtherInstance {
+	if resp.Outcome == exchange.OtherInstance {
 		reason = "other_instance"
 		s.g.view.MarkSuperseded(in.ID)
 	}
@@ -137,28 +136,28 @@
 }
 
 // relayBody relays a response that is not an event stream.
-func (s *requestState) relayBody(ans *exchange.Response, c balance.Choice) step {
-	body, err := io.ReadAll(io.LimitReader(ans.Body, maxBufferedBodyBytes))
+func (s *requestState) relayBody(resp *exchange.Response, c balance.Choice) step {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBodyBytes))
 	if err != nil {
 		return s.handleSendError(c.Instance, &exchange.SendError{Fault: exchange.FaultBroken, Sent: true, Cause: err})
 	}
 	s.firstResponseAt = time.Now()
 	if len(body) < maxBufferedBodyBytes {
 		s.updateHealth(c.Instance, balance.Succeeded, "")
-		s.caller.Start(ans.Status, ans.Header, int64(len(body)))
+		s.responder.Start(resp.Status, resp.Header, int64(len(body)))
 		s.outcome = outcomeServed
-		if s.caller.Write(body) != nil {
+		if s.responder.Write(body) != nil {
 			s.callerDisconnected()
 		}
 		return finished
 	}
 	s.headerSent = true
-	s.caller.Start(ans.Status, ans.Header, ans.ContentLength)
-	if s.caller.Write(body) != nil {
+	s.responder.Start(resp.Status, resp.Header, resp.ContentLength)
+	if s.responder.Write(body) != nil {
 		s.callerDisconnected()
 		return finished
 	}
-	if _, err := io.Copy(callerWriter{s.caller}, ans.Body); err != nil {
+	if _, err := io.Copy(responderWriter{s.responder}, resp.Body); err != nil {
 		s.abortResponse("broken")
 		return finished
 	}
@@ -166,11 +165,11 @@
 	return finished
 }
 
-type callerWriter struct{ caller Responder }
+type responderWriter struct{ responder Responder }
 
 // Write implements io.Writer.
-func (w callerWriter) Write(p []byte) (int, error) {
-	if err := w.caller.Write(p); err != nil {
+func (w responderWriter) Write(p []byte) (int, error) {
+	if err := w.responder.Write(p); err != nil {
 		return 0, err
 	}
 	return len(p), nil
@@ -178,20 +177,20 @@
 
 // relayStream relays an event stream from its start. Status and header are sent with the
 // first complete event: until then another target can still serve the whole stream.
-func (s *requestState) relayStream(ans *exchange.Response, c balance.Choice, cancel context.CancelFunc) step {
-	return s.relayEvents(ans, c, cancel, func() {
+func (s *requestState) relayStream(resp *exchange.Response, c balance.Choice, cancel context.CancelFunc) step {
+	return s.relayEvents(resp, c, cancel, func() {
 		s.firstResponseAt = time.Now()
 		s.headerSent = true
-		s.caller.Start(ans.Status, ans.Header, -1)
+		s.responder.Start(resp.Status, resp.Header, -1)
 	})
 }
 
 // resumeStream continues a stream that another target started.
-func (s *requestState) resumeStream(ans *exchange.Response, c balance.Choice, cancel context.CancelFunc) step {
-	if !ans.EventStream || ans.Outcome != exchange.Done {
+func (s *requestState) resumeStream(resp *exchange.Response, c balance.Choice, cancel context.CancelFunc) step {
+	if !resp.EventStream || resp.Outcome != exchange.Done {
 		return s.handleBrokenStream(c.Instance, false, errNotEventStream)
 	}
-	return s.relayEvents(ans, c, cancel, func() {})
+	return s.relayEvents(resp, c, cancel, func() {})
 }
 
 // errNotEventStream reports that the response to a resumed request is not the rest of its
@@ -203,14 +202,14 @@
 
 // relayEvents relays events until the stream ends. It calls onFirst before it relays the first
 // event, unless the header has already been sent.
-func (s *requestState) relayEvents(ans *exchange.Response, c balance.Choice, cancel context.CancelFunc, onFirst func()) step {
+func (s *requestState) relayEvents(resp *exchange.Response, c balance.Choice, cancel context.CancelFunc, onFirst func()) step {
 	in := c.Instance
 	gapWatchdog := newWatchdog(s.gapTimeout(), s.gapTimeout(), cancel, func() bool {
-		s.handleSilence(in)
+		s.handleUnresponsive(in)
 		return s.mayRetry()
 	})
 	defer gapWatchdog.stop()
-	rd := events.NewReader(ans.Body, max(s.lastEvent, s.req.ResumeAfter))
+	rd := events.NewReader(resp.Body, max(s.lastEvent, s.req.ResumeAfter))
 	began := false
 	for {
 		ev, err := rd.Next()
@@ -232,7 +231,7 @@
 				onFirst()
 			}
 		}
-		if s.caller.Write(ev.Raw) != nil {
+		if s.responder.Write(ev.Raw) != nil {
 			s.callerDisconnected()
 			return finished
 		}
@@ -241,14 +240,14 @@
 	}
 }
 
-// handleBrokenStream decides what to do when a stream broke off. When silent is true, the
-// watchdog ended the stream, and handleSilence has already dealt with the target.
-func (s *requestState) handleBrokenStream(in targets.Instance, silent bool, err error) step {
+// handleBrokenStream decides what to do when a stream broke off. When timedOut is true, the
+// watchdog ended the stream and handleUnresponsive has already recorded the target's outcome.
+func (s *requestState) handleBrokenStream(in targets.Instance, timedOut bool, err error) step {
 	if s.ctx.Err() != nil {
 		s.fail(TimedOut, 0)
 		return finished
 	}
-	if !silent {
+	if !timedOut {
 		s.updateHealth(in, balance.Failed, "cut")
 		s.reportBrokenRun(in)
 	}
@@ -281,7 +280,7 @@
 		return
 	}
 	s.outcome = string(reason)
-	s.caller.Refuse(Refusal{Reason: reason, NotRun: s.possibleRuns == 0, RetryAfter: retry})
+	s.responder.Refuse(Refusal{Reason: reason, NotRun: s.possibleRuns == 0, RetryAfter: retry})
 }
 
 // callerDisconnected ends a request whose caller has disconnected. It aborts the connection:
@@ -289,12 +288,12 @@
 // caller that has only closed its sending half would take for the response.
 func (s *requestState) callerDisconnected() {
 	s.outcome = "caller_left"
-	s.caller.Abort()
+	s.responder.Abort()
 }
 
 func (s *requestState) abortResponse(reason string) {
 	s.outcome = "cut_" + reason
-	s.caller.Abort()
+	s.responder.Abort()
 }
 
 // report logs the outcome of the request and records its metrics.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -51,7 +51,7 @@
 	Quarantined      Reason = "quarantined"      // it crashes the targets that run it
 
 	UnknownKey         Reason = "unknown_key"         // its key belongs to no workspace
-	StaleConfiguration Reason = "stale_configuration" // it cannot be told whether its key is still valid
+	StaleConfiguration Reason = "stale_configuration" // its key cannot be confirmed to be valid
 	OverLimit          Reason = "over_limit"          // its workspace exceeds its rate limit
 	LimitUnknown       Reason = "limit_unknown"       // no process grants requests of its workspace
 )
@@ -78,21 +78,22 @@
 	retryAfterUnavailable = 500 * time.Millisecond
 	// queuedThreshold is how long a request goes without a response before it counts as
 	// queued: three times what a target with a free slot takes. queuePollInterval is the
-	// pause between checks for a free slot elsewhere.
+	// pause between checks for a free slot at another target.
 	queuedThreshold   = 100 * time.Millisecond
 	queuePollInterval = 30 * time.Millisecond
 	// firstEventShare is the fraction of the route's objective for the first event after
-	// which a target with a free slot counts as silent. The rest suffices for another
+	// which a target with a free slot counts as unresponsive. The rest suffices for another
 	// target that starts at once.
 	firstEventShare = 0.7
 	// timeoutPerWaiting extends that timeout for each request known to wait at the target.
 	timeoutPerWaiting = 120 * time.Millisecond
 	// eventGapShare is the fraction of the route's objective for the gap between events
-	// after which a stream counts as silent. Engines that are merely slow pause for less.
+	// after which a target counts as unresponsive. Engines that are merely slow pause for
+	// less.
 	eventGapShare = 0.6
-	// defaultSilenceTimeout applies to the first event and to gaps where the route sets
+	// defaultEventTimeout applies to the first event and to gaps where the route sets
 	// no objective.
-	defaultSilenceTimeout = 2 * time.Second
+	defaultEventTimeout = 2 * time.Second
 )
 
 // Request is one request of a caller.
@@ -104,7 +105,7 @@
 
 // FailureNotifier notifies other processes of target failures.
 type FailureNotifier interface {
-	// Tell reports that a request failed at an instance. It does not block.
+	// NotifyFailure reports that a request failed at an instance. It does not block.
 	NotifyFailure(instance string)
 }
 
@@ -141,7 +142,7 @@
 }
 
 // Route returns the route of a request, or the refusal when there is none. A process that has
-// just started waits up to startupGrace for catalog and targets: a caller that is told to
+// just started waits up to startupGrace for catalog and targets: a caller that has to
 // retry loses much more time.
 func (g *Gateway) Route(ctx context.Context, id, host, path string) (*catalog.Route, *Refusal) {
 	route, refusal := g.route(ctx, host, path)
@@ -180,7 +181,7 @@
 
 // Serve executes one request and responds to its caller. It sets req.Deadline to the earlier
 // of the caller's deadline and the route's timeout.
-func (g *Gateway) Serve(ctx context.Context, route *catalog.Route, req *Request, caller Responder) {
+func (g *Gateway) Serve(ctx context.Context, route *catalog.Route, req *Request, responder Responder) {
 	hasDeadline := !req.Deadline.IsZero()
 	isRetry := hasDeadline && g.timeouts.isRetry(req.Arrived, route.Name, req.Deadline.Sub(req.Arrived))
 	limit := req.Arrived.Add(route.Timeout)
@@ -189,7 +190,7 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
-	s := &requestState{g: g, ctx: ctx, route: route, req: req, caller: caller, tried: make(map[string]bool), hasDeadline: hasDeadline, isRetry: isRetry}
+	s := &requestState{g: g, ctx: ctx, route: route, req: req, responder: responder, tried: make(map[string]bool), hasDeadline: hasDeadline, isRetry: isRetry}
 	s.service = route.Service(req.ID)
 	s.run()
 	s.report()
@@ -201,7 +202,7 @@
 	ctx         context.Context
 	route       *catalog.Route
 	req         *Request
-	caller      Responder
+	responder   Responder
 	service     string
 	hasDeadline bool // the caller sent a deadline
 	isRetry     bool // the request was probably refused before
@@ -246,9 +247,9 @@
 		s.fail(TimedOut, 0)
 		return balance.Choice{}, false
 	}
-	// The check precedes each send, since the crashes of this request's own sends may have
-	// completed the evidence against it. Otherwise one request that its caller retries
-	// crashes a service as fast as its targets restart.
+	// The check precedes each send, since the request's own sends may have caused the last
+	// crash that is needed to hold it. Without the check one request that its caller
+	// retries crashes a service as fast as its targets restart.
 	s.g.quarantine.WaitSettled(s.ctx, s.req.Key)
 	if left, held := s.g.quarantine.Held(s.req.Key); held {
 		s.fail(Quarantined, left)
@@ -320,31 +321,31 @@
 	defer cancel()
 	queueWatchdog := newWatchdog(queuedThreshold, queuePollInterval, cancel, s.queueCheck(c))
 	defer queueWatchdog.stop()
-	ans, err := s.g.sender.Send(ctx, c.Instance, &call)
+	resp, err := s.g.sender.Send(ctx, c.Instance, &call)
 	queueWatchdog.stop()
 	if err != nil {
 		return s.handleSendError(c.Instance, err)
 	}
-	defer func() { _ = ans.Body.Close() }() // nothing more is read from it
-	switch ans.Outcome {
+	defer func() { _ = resp.Body.Close() }() // nothing more is read from it
+	switch resp.Outcome {
 	case exchange.NotRun, exchange.OtherInstance:
-		return s.handleNotRun(c.Instance, ans)
+		return s.handleNotRun(c.Instance, resp)
 	case exchange.Failed:
 		s.updateHealth(c.Instance, balance.Failed, "failed")
 		if s.mayRetry() {
-			s.logRetry("sent again after a failure", c.Instance, "status", ans.Status)
+			s.logRetry("sent again after a failure", c.Instance, "status", resp.Status)
 			s.tried[c.Instance.ID] = true
 			return tryNext
 		}
 	case exchange.Done:
 	}
 	if s.headerSent {
-		return s.resumeStream(ans, c, cancel)
+		return s.resumeStream(resp, c, cancel)
 	}
-	if ans.EventStream && ans.Outcome == exchange.Done {
-		return s.relayStream(ans, c, cancel)
+	if resp.EventStream && resp.Outcome == exchange.Done {
+		return s.relayStream(resp, c, cancel)
 	}
-	return s.relayBody(ans, c)
+	return s.relayBody(resp, c)
 }
 
 // mayRetry reports whether the request may be sent to one more target although it may
@@ -353,12 +354,13 @@
 	return s.route.Retryable() && s.possibleRuns < max(s.route.Attempts, 1) && s.sends < maxSends
 }
 
-// updateHealth records a verdict on a target, and notifies other processes when the target
-// failed. The reason is used for the log and the metric of an ejection.
-func (s *requestState) updateHealth(in targets.Instance, v balance.Outcome, reason string) {
+// updateHealth records the outcome of a call at a target, and notifies other processes when
+// the call failed or the target was unreachable. The reason is used for the log and the metric
+// of an ejection.
+func (s *requestState) updateHealth(in targets.Instance, outcome balance.Outcome, reason string) {
 	var ejected time.Duration
-	s.g.view.WithTable(func(t *balance.Table) { ejected = t.RecordOutcome(time.Now(), in.ID, v) })
-	if v == balance.Failed || v == balance.Unreachable {
+	s.g.view.WithTable(func(t *balance.Table) { ejected = t.RecordOutcome(time.Now(), in.ID, outcome) })
+	if outcome == balance.Failed || outcome == balance.Unreachable {
 		s.g.notifier.NotifyFailure(in.ID)
 	}
 	if ejected > 0 {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -41,16 +41,16 @@
 	return targets.Instance{ID: id, Addr: id, Service: "s", Slots: 8}, nil
 }
 
-// scriptedReply handles one call to a scripted target.
-type scriptedReply func(ctx context.Context, call *exchange.Call) (*exchange.Response, error)
+// scriptedResponse produces the response to one call.
+type scriptedResponse func(ctx context.Context, call *exchange.Call) (*exchange.Response, error)
 
-// scriptedSender is a Sender that plays its replies in order, whichever target a call is sent
-// to, and records the calls and their targets.
+// scriptedSender is a Sender that returns its responses in order, whichever target a call is
+// sent to, and records the calls and their targets.
 type scriptedSender struct {
-	mu      sync.Mutex
-	replies []scriptedReply
-	calls   []exchange.Call
-	to      []string
+	mu        sync.Mutex
+	responses []scriptedResponse
+	calls     []exchange.Call
+	to        []string
 }
 
 // firstTarget returns the target of the first call.
@@ -64,37 +64,37 @@
 	s.mu.Lock()
 	s.calls = append(s.calls, *call)
 	s.to = append(s.to, to.ID)
-	if len(s.replies) == 0 {
+	if len(s.responses) == 0 {
 		s.mu.Unlock()
-		return nil, &exchange.SendError{Fault: exchange.FaultConnect, Cause: errors.New("no more replies")}
+		return nil, &exchange.SendError{Fault: exchange.FaultConnect, Cause: errors.New("no more scripted responses")}
 	}
-	r := s.replies[0]
-	s.replies = s.replies[1:]
+	r := s.responses[0]
+	s.responses = s.responses[1:]
 	s.mu.Unlock()
 	return r(ctx, call)
 }
 
-func respond(outcome exchange.Outcome, status int, body io.Reader, isStream bool) scriptedReply {
+func respond(outcome exchange.Outcome, status int, body io.Reader, isStream bool) scriptedResponse {
 	return func(context.Context, *exchange.Call) (*exchange.Response, error) {
 		return &exchange.Response{Outcome: outcome, Status: status, Header: http.Header{"Mark": {"1"}}, Body: io.NopCloser(body), ContentLength: -1, EventStream: isStream}, nil
 	}
 }
 
-// failBroken returns a reply whose connection breaks. Sent is whether the call may have reached
-// the target.
-func failBroken(sent bool) scriptedReply {
+// failBroken returns the result of a connection that breaks. The argument sent says whether the
+// call may have reached the target.
+func failBroken(sent bool) scriptedResponse {
 	return func(context.Context, *exchange.Call) (*exchange.Response, error) {
 		return nil, &exchange.SendError{Fault: exchange.FaultBroken, Sent: sent, Cause: io.ErrUnexpectedEOF}
 	}
 }
 
-// neverAnswer is a reply that does not come before the call's context ends.
-func neverAnswer(ctx context.Context, _ *exchange.Call) (*exchange.Response, error) {
+// neverRespond returns no response before the call's context ends.
+func neverRespond(ctx context.Context, _ *exchange.Call) (*exchange.Response, error) {
 	<-ctx.Done()
 	return nil, &exchange.SendError{Fault: exchange.FaultCanceled, Sent: true, Cause: ctx.Err()}
 }
 
-// eventStream returns the events with the IDs from first to last.
+// eventStream returns the events with the given first and last IDs and all between them.
 func eventStream(from, to int) string {
 	out := ""
 	for i := from; i <= to; i++ {
@@ -127,7 +127,7 @@
 	return n, err
 }
 
-// recorder implements gateway.Caller and records what is sent to the caller.
+// recorder implements gateway.Responder and records what is sent to the caller.
 type recorder struct {
 	status  int
 	body    bytes.Buffer
@@ -152,17 +152,17 @@
 }
 
 // fakeReserver reserves a slot at any instance that is not in full, and records the instances
-// asked.
+// at which a reservation is tried.
 type fakeReserver struct {
 	mu    sync.Mutex
 	full  map[string]bool
-	asked []string
+	tried []string
 }
 
 func (r *fakeReserver) Reserve(_ context.Context, at targets.Instance, _ int, _ time.Duration) (string, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.asked = append(r.asked, at.ID)
+	r.tried = append(r.tried, at.ID)
 	if r.full[at.ID] {
 		return "", exchange.ErrFull
 	}
@@ -203,12 +203,12 @@
 	return gatewayWith(quarantine.NewTracker(quarantine.Config{Prober: &fakeProber{}, Metrics: ms}), v, sender, reserver, notifier, ms)
 }
 
-func gatewayWith(k *quarantine.Tracker, v *fleet.View, sender exchange.Sender, reserver exchange.Reserver, notifier gateway.FailureNotifier, ms *metrics.Set) *gateway.Gateway {
-	return gateway.New(gateway.Config{View: v, Sender: sender, Reserver: reserver, FailureNotifier: notifier, Quarantine: k, Metrics: ms})
+func gatewayWith(tr *quarantine.Tracker, v *fleet.View, sender exchange.Sender, reserver exchange.Reserver, notifier gateway.FailureNotifier, ms *metrics.Set) *gateway.Gateway {
+	return gateway.New(gateway.Config{View: v, Sender: sender, Reserver: reserver, FailureNotifier: notifier, Quarantine: tr, Metrics: ms})
 }
 
 // newFixture returns a fixture with a route to a service of n targets.
-func newFixture(route catalog.Route, n int, replies ...scriptedReply) *fixture {
+func newFixture(route catalog.Route, n int, replies ...scriptedResponse) *fixture {
 	route.Host, route.PathPrefix = "h", "/"
 	route.Shares = []catalog.Share{{Service: "s", Weight: 1}}
 	if route.Timeout == 0 {
@@ -222,11 +222,11 @@
 		recs = append(recs, store.Record{Key: fmt.Sprint("i", i), Value: []byte("1"), Offset: int64(i)})
 	}
 	v.TargetSink().Reset(recs)
-	sender := &scriptedSender{replies: replies}
+	sender := &scriptedSender{responses: replies}
 	notifier, reserver := &recordingNotifier{}, &fakeReserver{full: make(map[string]bool)}
 	prober := &fakeProber{crashed: make(map[string]bool)}
-	keeper := quarantine.NewTracker(quarantine.Config{Prober: prober, Metrics: ms})
-	return &fixture{notifier: notifier, reserver: reserver, prober: prober, quarantine: keeper, view: v, gw: gatewayWith(keeper, v, sender, reserver, notifier, ms), sender: sender}
+	tracker := quarantine.NewTracker(quarantine.Config{Prober: prober, Metrics: ms})
+	return &fixture{notifier: notifier, reserver: reserver, prober: prober, quarantine: tracker, view: v, gw: gatewayWith(tracker, v, sender, reserver, notifier, ms), sender: sender}
 }
 
 func (f *fixture) serve(ctx context.Context) *recorder {
@@ -267,12 +267,12 @@
 // the connection breaks, the target fails or no response arrives.
 func TestNoRetryOfNonRepeatableRequestThatMayHaveRun(t *testing.T) {
 	for _, route := range []catalog.Route{nonIdempotent, streaming} {
-		for name, first := range map[string]scriptedReply{"broken": failBroken(true), "failed": respond(exchange.Failed, 500, strings.NewReader("oops"), false), "silent": neverAnswer} {
+		for name, first := range map[string]scriptedResponse{"broken": failBroken(true), "failed": respond(exchange.Failed, 500, strings.NewReader("oops"), false), "silent": neverRespond} {
 			inVirtualTime(t, func(t *testing.T) {
 				f := newFixture(route, 3, first, respond(exchange.Done, 200, strings.NewReader("second"), false))
 				c := f.serve(t.Context())
 				if len(f.sender.calls) != 1 {
-					t.Fatalf("%s: sent %d times", name, len(f.sender.calls))
+					t.Fatalf("%s: sent %d times, want once", name, len(f.sender.calls))
 				}
 				if c.refusal != nil && c.refusal.NotRun {
 					t.Fatalf("%s: refused as not run although it may have run", name)
@@ -288,7 +288,7 @@
 // A request that a target did not run must be sent to another target. Relaying the first
 // target's refusal fails a request that others would have run.
 func TestRequestThatDidNotRunIsSentElsewhere(t *testing.T) {
-	for name, first := range map[string]scriptedReply{
+	for name, first := range map[string]scriptedResponse{
 		"not sent": failBroken(false),
 		"full":     respond(exchange.NotRun, 503, strings.NewReader(""), false),
 		"other":    respond(exchange.OtherInstance, 421, strings.NewReader(""), false),
@@ -311,7 +311,7 @@
 		other := respond(exchange.OtherInstance, 421, strings.NewReader(""), false)
 		f := newFixture(nonIdempotent, 2, other)
 		for range 20 {
-			f.sender.replies = append(f.sender.replies, func(ctx context.Context, call *exchange.Call) (*exchange.Response, error) {
+			f.sender.responses = append(f.sender.responses, func(ctx context.Context, call *exchange.Call) (*exchange.Response, error) {
 				return respond(exchange.Done, 200, strings.NewReader("ok"), false)(ctx, call)
 			})
 		}
@@ -334,11 +334,11 @@
 		full := respond(exchange.NotRun, 503, strings.NewReader(""), false)
 		f := newFixture(idempotent, 5, failBroken(true), full, full, full)
 		if c := f.serve(t.Context()); c.refusal == nil || c.refusal.NotRun {
-			t.Fatalf("refusal %+v", c.refusal)
+			t.Fatalf("got refusal %+v, want one that may have run", c.refusal)
 		}
 		f = newFixture(idempotent, 5, full, full, full, full)
 		if c := f.serve(t.Context()); c.refusal == nil || !c.refusal.NotRun || c.refusal.RetryAfter == 0 {
-			t.Fatalf("refusal %+v", c.refusal)
+			t.Fatalf("got refusal %+v, want one as not run with a retry-after", c.refusal)
 		}
 	})
 }
@@ -378,12 +378,12 @@
 
 // A target's host becomes unreachable before the first event or between two. If only a broken
 // connection triggers failover, the caller waits for seconds.
-func TestFailoverFromSilentTarget(t *testing.T) {
+func TestFailoverFromUnresponsiveTarget(t *testing.T) {
 	stall := func(ctx context.Context, _ *exchange.Call) (*exchange.Response, error) {
 		return &exchange.Response{Status: 200, Body: io.NopCloser(stalledReader{strings.NewReader(eventStream(1, 3)), ctx}), ContentLength: -1, EventStream: true}, nil
 	}
 	for name, f := range map[string]*fixture{
-		"before the first event": newFixture(resumable, 3, neverAnswer, respond(exchange.Done, 200, strings.NewReader(eventStream(1, 5)), true)),
+		"before the first event": newFixture(resumable, 3, neverRespond, respond(exchange.Done, 200, strings.NewReader(eventStream(1, 5)), true)),
 		"between events":         newFixture(resumable, 3, stall, respond(exchange.Done, 200, strings.NewReader(eventStream(4, 5)), true)),
 	} {
 		inVirtualTime(t, func(t *testing.T) {
@@ -396,7 +396,7 @@
 			ejected := false
 			f.view.WithTable(func(tab *balance.Table) { ejected = len(tab.BatchTargets(time.Now(), "s")) == 0 })
 			if !ejected {
-				t.Fatalf("%s: the silent target still has seats for batch work", name)
+				t.Fatalf("%s: the unresponsive target still has seats for batch work", name)
 			}
 		})
 	}
@@ -407,7 +407,7 @@
 // for a second and the others are overloaded.
 func TestBusyTargetIsNotEjected(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		f := newFixture(streaming, 1, neverAnswer)
+		f := newFixture(streaming, 1, neverRespond)
 		f.view.WithTable(func(tab *balance.Table) {
 			tab.UpdateLoad(time.Now(), "i0", balance.Report{Active: 6, Slots: 8, FreeSeats: 2})
 		})
@@ -427,7 +427,7 @@
 // have free slots.
 func TestQueuedRequestMovesToFreeSlot(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		f := newFixture(resumable, 2, neverAnswer, respond(exchange.Done, 200, strings.NewReader(eventStream(1, 2)), true))
+		f := newFixture(resumable, 2, neverRespond, respond(exchange.Done, 200, strings.NewReader(eventStream(1, 2)), true))
 		f.view.WithTable(func(tab *balance.Table) {
 			for _, id := range []string{"i0", "i1"} {
 				tab.UpdateLoad(time.Now(), id, balance.Report{Active: 4, Slots: 8})
@@ -454,7 +454,7 @@
 		began := time.Now()
 		c := f.serve(t.Context())
 		if c.refusal == nil || !c.refusal.NotRun || c.refusal.RetryAfter == 0 || time.Since(began) > 0 || len(f.sender.calls) > 0 {
-			t.Fatalf("refusal %+v after %s, %d calls", c.refusal, time.Since(began), len(f.sender.calls))
+			t.Fatalf("got refusal %+v after %s and %d calls, want one as not run, at once and without a call", c.refusal, time.Since(began), len(f.sender.calls))
 		}
 	})
 }
@@ -465,11 +465,11 @@
 	inVirtualTime(t, func(t *testing.T) {
 		route := nonIdempotent
 		route.Timeout = 700 * time.Millisecond
-		f := newFixture(route, 1, neverAnswer)
+		f := newFixture(route, 1, neverRespond)
 		began := time.Now()
 		c := f.serve(t.Context())
 		if took := time.Since(began); c.refusal == nil || c.refusal.Reason != gateway.TimedOut || c.refusal.NotRun || took > 710*time.Millisecond {
-			t.Fatalf("refusal %+v after %s", c.refusal, took)
+			t.Fatalf("got refusal %+v after %s, want one as timed out within 710 ms", c.refusal, took)
 		}
 	})
 }
@@ -477,13 +477,13 @@
 // A target must not continue to work for a caller that has disconnected.
 func TestDisconnectedCallerEndsRequest(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		f := newFixture(resumable, 3, neverAnswer)
+		f := newFixture(resumable, 3, neverRespond)
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(50*time.Millisecond, cancel)
 		began := time.Now()
 		c := f.serve(ctx)
 		if took := time.Since(began); took > 60*time.Millisecond || c.refusal != nil || len(f.sender.calls) != 1 {
-			t.Fatalf("after %s: refusal %+v, %d calls", took, c.refusal, len(f.sender.calls))
+			t.Fatalf("ended after %s with refusal %+v and %d calls, want within 60 ms, none and one", took, c.refusal, len(f.sender.calls))
 		}
 		// A caller that has closed only its sending half must get no empty success.
 		if !c.aborted {
@@ -502,14 +502,14 @@
 		began := time.Now()
 		_, r := g.Route(t.Context(), "r", "h", "/x")
 		if r == nil || r.Reason != gateway.NotReady || !r.NotRun || r.RetryAfter == 0 || time.Since(began) > 0 {
-			t.Fatalf("refusal %+v after %s", r, time.Since(began))
+			t.Fatalf("got refusal %+v after %s, want one as not ready, at once and with a retry-after", r, time.Since(began))
 		}
 	})
 }
 
 // After all processes were killed, the first requests arrive before the new ones have read
 // configuration and registry. If state that is not loaded yet is taken for absent, callers are
-// told to retry by a process that can serve 30 ms later.
+// refused with a retry-after by a process that can serve 30 ms later.
 func TestStartingProcessHoldsRequests(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		ms := metrics.New("test")
@@ -521,7 +521,7 @@
 			v.TargetSink().Reset(nil)
 		})
 		if got, r := g.Route(t.Context(), "r", "h", "/x"); r != nil || got.Name != "r" {
-			t.Fatalf("refusal %+v", r)
+			t.Fatalf("got refusal %+v, want the route", r)
 		}
 	})
 }
@@ -552,15 +552,15 @@
 	})
 }
 
-// A request waits at an unreachable target that is reported to have free slots, and moves on. If
-// the entry does not record that, the next request goes to the same target; if it ignores the
-// agent's report that the target does not respond, requests still wait there. With five of
-// twelve targets unreachable, a third of the requests at peak load were late, and every entry
-// had to find each of these targets by itself.
+// A request waits at an unreachable target that is reported to have free slots, and is retried at
+// another one. If the entry does not record that, it sends the next request to the same target; if
+// it ignores the agent's report that the target does not respond, requests still wait there. With
+// five of twelve targets unreachable, a third of the requests at peak load were late, and every
+// entry had to find each of these targets by itself.
 func TestUnreachableTargetIsNotChosenAgain(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		good := respond(exchange.Done, 200, strings.NewReader(eventStream(1, 2)), true)
-		f := newFixture(resumable, 2, neverAnswer, good)
+		f := newFixture(resumable, 2, neverRespond, good)
 		f.view.WithTable(func(tab *balance.Table) {
 			for _, id := range []string{"i0", "i1"} {
 				tab.UpdateLoad(time.Now(), id, balance.Report{Active: 4, Slots: 8})
@@ -578,7 +578,7 @@
 	})
 	inVirtualTime(t, func(t *testing.T) {
 		good := respond(exchange.Done, 200, strings.NewReader(eventStream(1, 2)), true)
-		f := newFixture(resumable, 2, neverAnswer, good)
+		f := newFixture(resumable, 2, neverRespond, good)
 		go func() {
 			time.Sleep(20 * time.Millisecond)
 			f.view.WithTable(func(tab *balance.Table) {
@@ -613,17 +613,17 @@
 			}
 		})
 		if c := f.serve(t.Context()); c.body.String() != eventStream(1, 2) {
-			t.Fatalf("body %q", c.body.String())
+			t.Fatalf("got body %q, want events 1 and 2", c.body.String())
 		}
 		if len(f.sender.to) != 1 || f.sender.to[0] != "i2" || f.sender.calls[0].ReservedSlot != "slot-i2" {
-			t.Errorf("sent to %v with reservation %q", f.sender.to, f.sender.calls[0].ReservedSlot)
+			t.Errorf("sent to %v with reservation %q, want i2 with slot-i2", f.sender.to, f.sender.calls[0].ReservedSlot)
 		}
 	})
 }
 
 // In a large fleet an entry gets load reports from only some of the targets. If targets without
 // a report are taken for idle, requests wait at busy ones: at each peak two first events in five
-// were late, and thousands of healthy targets were ejected as silent.
+// were late, and thousands of healthy targets were ejected as unresponsive.
 func TestSlotIsReservedAtUnreportedTarget(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		good := respond(exchange.Done, 200, strings.NewReader(eventStream(1, 2)), true)
@@ -632,8 +632,8 @@
 			f.view.WithTable(func(tab *balance.Table) { tab.UpdateLoad(time.Now(), "i0", balance.Report{Active: active, Slots: 8}) })
 		}
 		report(2)
-		if f.serve(t.Context()); f.sender.to[0] != "i0" || len(f.reserver.asked) != 0 {
-			t.Fatalf("sent to %v, reservations asked of %v; i0 is reported to have free slots", f.sender.to, f.reserver.asked)
+		if f.serve(t.Context()); f.sender.to[0] != "i0" || len(f.reserver.tried) != 0 {
+			t.Fatalf("sent to %v, reservations tried at %v; i0 is reported to have free slots", f.sender.to, f.reserver.tried)
 		}
 		report(8)
 		f.reserver.full["i1"] = true
@@ -660,10 +660,11 @@
 	})
 }
 
-// At peak load requests wait for more than 200 ms at targets that no agent reports. If waiting
-// there counts as silence, an entry ejects one healthy target after the other. Only a target
-// that has just reserved a slot, or that its agent reports as silent, counts as silent.
-func TestWaitingAtUnreportedTargetIsNotSilence(t *testing.T) {
+// At peak load requests wait for more than 200 ms at targets that no agent reports. If such a
+// target counts as unresponsive, an entry ejects one healthy target after the other. Only a
+// target that has just reserved a slot, where a request has no reason to wait, or that its agent
+// reports as unresponsive counts as such.
+func TestWaitingAtUnreportedTargetIsNotFailure(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		never := func(ctx context.Context, _ *exchange.Call) (*exchange.Response, error) {
 			<-ctx.Done()
@@ -673,7 +674,7 @@
 		f := newFixture(resumable, 2, never, good)
 		f.reserver.full["i0"], f.reserver.full["i1"] = true, true
 		if c := f.serve(t.Context()); c.body.String() != eventStream(1, 2) {
-			t.Fatalf("body %q", c.body.String())
+			t.Fatalf("got body %q, want events 1 and 2", c.body.String())
 		}
 		if f.notifier.count() != 0 {
 			t.Error("a target that may only be busy was reported to have failed")
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -11,7 +11,8 @@
 
 // At peak load beyond all slots, queues of two or three requests form at all targets. If every
 // request joins that can be served at all, nearly every first event is late and retries are
-// refused for good. First attempts that would be late are refused at once; retries are admitted.
+// refused again and again. First attempts that would be late are refused at once; retries are
+// admitted.
 func TestLongQueueAdmitsRetriesOnly(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		good := respond(exchange.Done, 200, strings.NewReader(eventStream(1, 2)), true)
@@ -24,26 +25,26 @@
 		const timeout = 3 * time.Second
 		first := f.serveWithin(t.Context(), timeout)
 		if first.refusal == nil || !first.refusal.NotRun || len(f.sender.calls) > 0 {
-			t.Fatalf("refusal %+v, %d calls", first.refusal, len(f.sender.calls))
+			t.Fatalf("got refusal %+v after %d calls, want one as not run after none", first.refusal, len(f.sender.calls))
 		}
 		retryAfter := first.refusal.RetryAfter
 		if retryAfter < timeout/6 || retryAfter > timeout/3 {
-			t.Errorf("retry-after is %s", retryAfter)
+			t.Errorf("got retry-after %s, want a sixth to a third of the timeout", retryAfter)
 		}
 		if retry := f.serveWithin(t.Context(), timeout-retryAfter); retry.body.String() != eventStream(1, 2) {
-			t.Errorf("the retry got refusal %+v", retry.refusal)
+			t.Errorf("the retry got refusal %+v, want the stream", retry.refusal)
 		}
 	})
 }
 
 // A first attempt is not refused for a queue in which it meets the objective. This is the other
-// side of the bound.
+// side of the bound that TestLongQueueAdmitsRetriesOnly tests.
 func TestShortQueueAdmitsFirstAttempts(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		f := newFixture(resumable, 1, respond(exchange.Done, 200, strings.NewReader(eventStream(1, 2)), true))
 		f.view.WithTable(func(tab *balance.Table) { tab.UpdateLoad(time.Now(), "i0", balance.Report{Active: 8, Slots: 8}) })
 		if c := f.serveWithin(t.Context(), 3*time.Second); c.body.String() != eventStream(1, 2) {
-			t.Errorf("got refusal %+v", c.refusal)
+			t.Errorf("got refusal %+v, want the stream", c.refusal)
 		}
 	})
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -30,8 +30,8 @@
 	p.crashed[id] = true
 }
 
-// crashOnReceive returns the reply of a target that crashes as soon as it has the request.
-func (f *fixture) crashOnReceive() scriptedReply {
+// crashOnReceive returns the result of a target that crashes as soon as it has the request.
+func (f *fixture) crashOnReceive() scriptedResponse {
 	return func(context.Context, *exchange.Call) (*exchange.Response, error) {
 		f.sender.mu.Lock()
 		id := f.sender.to[len(f.sender.to)-1]
@@ -52,13 +52,13 @@
 		began := time.Now()
 		c := f.serve(t.Context())
 		if c.refusal == nil || c.refusal.Reason != gateway.Quarantined || !c.refusal.NotRun || c.refusal.RetryAfter != quarantine.HoldDuration-delay {
-			t.Fatalf("refusal %+v", c.refusal)
+			t.Fatalf("got refusal %+v, want one as quarantined and not run, with the rest of the hold as retry-after", c.refusal)
 		}
 		if took := time.Since(began); took > 0 {
-			t.Errorf("refused after %s", took)
+			t.Errorf("refused after %s, want at once", took)
 		}
 		if len(f.sender.calls) > 0 {
-			t.Fatalf("sent %d times", len(f.sender.calls))
+			t.Fatalf("sent %d times, want none", len(f.sender.calls))
 		}
 	})
 }
@@ -69,14 +69,14 @@
 func TestRequestEndsWithDecidingCrash(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		f := newFixture(idempotent, 3)
-		f.sender.replies = []scriptedReply{f.crashOnReceive(), respond(exchange.Done, 200, strings.NewReader("late"), false)}
+		f.sender.responses = []scriptedResponse{f.crashOnReceive(), respond(exchange.Done, 200, strings.NewReader("late"), false)}
 		f.crashElsewhere("x", "y")
 		c := f.serve(t.Context())
 		if c.refusal == nil || c.refusal.Reason != gateway.Quarantined || c.refusal.NotRun {
-			t.Fatalf("refusal %+v", c.refusal)
+			t.Fatalf("got refusal %+v, want one as quarantined that may have run", c.refusal)
 		}
 		if len(f.sender.calls) != 1 {
-			t.Fatalf("sent %d times", len(f.sender.calls))
+			t.Fatalf("sent %d times, want once", len(f.sender.calls))
 		}
 	})
 }
@@ -88,7 +88,7 @@
 		f := newFixture(idempotent, 3, respond(exchange.Done, 200, strings.NewReader("ok"), false))
 		f.crashElsewhere("x", "y")
 		if c := f.serve(t.Context()); c.body.String() != "ok" {
-			t.Fatalf("refusal %+v", c.refusal)
+			t.Fatalf("got refusal %+v, want the response", c.refusal)
 		}
 		f.crashElsewhere("v", "w")
 		if _, held := f.quarantine.Held(testKey); held {
@@ -97,17 +97,17 @@
 	})
 }
 
-// A connection that breaks while its target lives on, after an invalid response or a reset, does
-// not count as a crash.
+// A connection that breaks while its target keeps running, after an invalid response or a reset,
+// does not count as a crash.
 func TestBrokenConnectionIsNotCrash(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		f := newFixture(idempotent, 3)
-		f.sender.replies = []scriptedReply{failBroken(true), failBroken(true), failBroken(true), failBroken(true), failBroken(true), failBroken(true)}
+		f.sender.responses = []scriptedResponse{failBroken(true), failBroken(true), failBroken(true), failBroken(true), failBroken(true), failBroken(true)}
 		for range 3 {
 			f.serve(t.Context())
 		}
 		if all := f.quarantine.Suspects(); len(all) > 0 {
-			t.Errorf("crashes counted: %+v", all)
+			t.Errorf("crashes counted: %+v, want none", all)
 		}
 	})
 }
@@ -121,7 +121,7 @@
 		f.crashElsewhere("x", "y", "z")
 		time.AfterFunc(50*time.Millisecond, func() { f.quarantine.RecordSuccess(testKey) })
 		if c := f.serve(t.Context()); c.body.String() != "ok" {
-			t.Fatalf("refusal %+v", c.refusal)
+			t.Fatalf("got refusal %+v, want the response", c.refusal)
 		}
 	})
 }
--- a/gateway/reserve.go
+++ b/gateway/reserve.go
@@ -14,8 +14,8 @@
 
 // Limits of slot reservation.
 const (
-	// maxReserveAttempts bounds how many targets are asked for a slot before the request is
-	// sent to a target where it has to wait.
+	// maxReserveAttempts bounds the number of targets at which a reservation is tried before
+	// the request is sent to a target where it has to wait.
 	maxReserveAttempts = 6
 	// reserveTimeout is many times what a target takes to respond to a reservation.
 	reserveTimeout = 60 * time.Millisecond
@@ -24,9 +24,9 @@
 )
 
 // pickAndReserve chooses a target that is nearly full, or whose load is not reported, and
-// reserves a slot there. When all targets that it asks are full, it chooses one without a
-// reservation. It reports false when a reservation is not possible or not needed, and when no
-// target was chosen.
+// reserves a slot there. When no target that it tries reserves one, it chooses a target
+// without a reservation. It reports false when a reservation is not possible or not needed,
+// and when no target was chosen.
 func (s *requestState) pickAndReserve() (balance.Choice, bool) {
 	s.req.ReservedSlot = ""
 	if !s.canReserve() {
@@ -60,7 +60,8 @@
 		})
 		avoid[c.Instance.ID] = true
 	}
-	// The targets that were asked gave no slot, and most of the others are probably full too.
+	// The targets tried so far are full or unresponsive, and most of the others are probably
+	// full too.
 	return s.selectTarget(func(t *balance.Table) (balance.Choice, bool) {
 		return t.PickReported(time.Now(), s.service, avoid, rand.Float64())
 	})
--- a/gateway/waiting.go
+++ b/gateway/waiting.go
@@ -9,10 +9,10 @@
 )
 
 // firstEventTimeout returns how long a target may take to start its response before it
-// counts as silent.
+// counts as unresponsive.
 func (s *requestState) firstEventTimeout(c balance.Choice) time.Duration {
 	if s.route.FirstEventWithin <= 0 {
-		return defaultSilenceTimeout
+		return defaultEventTimeout
 	}
 	waiting := c.Waiting
 	if c.Load >= c.Instance.Slots {
@@ -22,18 +22,18 @@
 }
 
 // gapTimeout returns how long a stream may pause between events before its target counts as
-// silent.
+// unresponsive.
 func (s *requestState) gapTimeout() time.Duration {
 	if s.route.EventGapWithin <= 0 {
-		return defaultSilenceTimeout
+		return defaultEventTimeout
 	}
 	return time.Duration(eventGapShare * float64(s.route.EventGapWithin))
 }
 
 // queueCheck returns the watchdog's check of a request that has no response yet. The check
 // reports true when the request may be retried and another target has a free slot for it now,
-// or its target counts as silent. A request does not leave one queue for another, which would
-// only lose its place.
+// or its target counts as unresponsive. A request does not leave one queue for another, since
+// it would only lose its place.
 func (s *requestState) queueCheck(c balance.Choice) func() bool {
 	sent, recorded := time.Now(), false
 	return func() bool {
@@ -43,46 +43,49 @@
 			free = t.ShouldMove(now, s.service, c.Instance.ID, rand.Float64())
 			idle = t.HasFreeSlot(now, c.Instance.ID)
 		})
-		silent := now.Sub(sent) >= s.firstEventTimeout(c) && !s.reportedAlive(c.Instance) || s.reportedSilent(c.Instance)
-		if silent && !recorded {
+		unresponsive := now.Sub(sent) >= s.firstEventTimeout(c) && !s.reportedResponsive(c.Instance) || s.reportedUnresponsive(c.Instance)
+		if unresponsive && !recorded {
 			recorded = true
-			s.updateHealth(c.Instance, s.silenceVerdict(c), "silent")
+			s.updateHealth(c.Instance, s.unresponsiveOutcome(c), "silent")
 		}
 		if free && idle {
 			// The target has a free slot and did not start the request, so it may be
 			// unreachable. The next request should not spend one of its attempts there too.
 			s.updateHealth(c.Instance, balance.Slow, "late")
 		}
-		return s.mayRetry() && (free || silent)
+		return s.mayRetry() && (free || unresponsive)
 	}
 }
 
-// silenceVerdict returns the verdict on a target whose response does not start. When the
-// target's load is not reported and no slot is reserved, the request may just be queued
-// there: ejecting such targets at peak load leaves fewer and fewer for all requests.
-func (s *requestState) silenceVerdict(c balance.Choice) balance.Outcome {
+// unresponsiveOutcome returns the outcome to record for a target whose response does not
+// start. When the target's load is not reported and no slot is reserved, the request may just
+// be queued there: ejecting such targets at peak load leaves fewer and fewer for all requests.
+func (s *requestState) unresponsiveOutcome(c balance.Choice) balance.Outcome {
 	if c.Reported() || s.req.ReservedSlot != "" {
 		return balance.Unreachable
 	}
 	return balance.Slow
 }
 
-// reportedSilent reports whether a target's agent says that the target does not respond.
-func (s *requestState) reportedSilent(in targets.Instance) (silent bool) {
-	s.g.view.WithTable(func(t *balance.Table) { silent = t.Silent(time.Now(), in.ID) })
-	return silent
+// reportedUnresponsive reports whether a target's agent reports that the target does not
+// respond.
+func (s *requestState) reportedUnresponsive(in targets.Instance) (unresponsive bool) {
+	s.g.view.WithTable(func(t *balance.Table) { unresponsive = t.Silent(time.Now(), in.ID) })
+	return unresponsive
 }
 
-// reportedAlive reports whether a target's agent has recently reported it as responding.
-func (s *requestState) reportedAlive(in targets.Instance) (alive bool) {
-	s.g.view.WithTable(func(t *balance.Table) { alive = t.Alive(time.Now(), in.ID) })
-	return alive
+// reportedResponsive reports whether a target's agent has recently reported that the target
+// responds.
+func (s *requestState) reportedResponsive(in targets.Instance) (responsive bool) {
+	s.g.view.WithTable(func(t *balance.Table) { responsive = t.Alive(time.Now(), in.ID) })
+	return responsive
 }
 
-// handleSilence handles a target that has sent nothing within the gap timeout. A target that
-// its agent reports as responding is only busy: ejecting it would push its load onto others.
-func (s *requestState) handleSilence(in targets.Instance) {
-	if s.reportedAlive(in) {
+// handleUnresponsive handles a target that has sent nothing within the gap timeout. When its
+// agent reports that it responds, it is only busy: ejecting it would push its load onto
+// others.
+func (s *requestState) handleUnresponsive(in targets.Instance) {
+	if s.reportedResponsive(in) {
 		s.g.metrics.Count("slow_answer")
 		return
 	}
