--- a/access/access.go
+++ b/access/access.go
@@ -27,8 +27,8 @@
 	minRefreshInterval = 100 * time.Millisecond
 	// failureBackoff is the time after a failed read in which requests are refused at once.
 	failureBackoff = 250 * time.Millisecond
-	// retryAfter is the retry-after time of a refusal. The caller then usually reaches another
-	// host, which usually has a connection to the store.
+	// retryAfter is the retry-after of a refusal. The retry usually reaches another host, which
+	// usually has a connection to the store.
 	retryAfter = 100 * time.Millisecond
 )
 
@@ -50,19 +50,19 @@
 	return "configuration was last confirmed " + e.Age.String() + " ago"
 }
 
-// RetryAfter returns when the caller should retry a refused request.
+// RetryAfter returns how long the caller should wait before it retries the request.
 func (e *StaleError) RetryAfter() time.Duration { return retryAfter }
 
 // Source provides the configuration's confirmations.
 type Source interface {
-	// Confirmed returns the time, by Config.Clock, at which the configuration was last known to
+	// ConfirmedAt returns the time, by Config.Clock, at which the configuration was last known to
 	// be the newest. It reports false if it was never confirmed.
 	ConfirmedAt() (time.Duration, bool)
 	// Confirm ensures that the last confirmation is at most maxAge ago.
 	Confirm(ctx context.Context, maxAge time.Duration) error
 }
 
-// Config holds what NewAuthenticator needs.
+// Config holds the dependencies and settings of an Authenticator.
 type Config struct {
 	Catalog func() *catalog.Catalog // in force; nil until one is known
 	Source  Source
@@ -83,7 +83,7 @@
 	lastRefreshFailed bool          // whether the last read failed
 }
 
-// NewAuthenticator returns an instance for cfg.
+// NewAuthenticator returns an Authenticator with the given configuration.
 func NewAuthenticator(cfg Config) *Authenticator {
 	return &Authenticator{cfg: cfg, lease: time.Duration(leaseFraction * float64(cfg.KeyLease)), unknown: newUnknownKeys()}
 }
@@ -94,7 +94,8 @@
 	Workspace *catalog.Workspace
 	// Version is the version of the catalog that Workspace was read from.
 	Version int64
-	// Keyed says that the catalog requires keys. The key itself is not passed on.
+	// KeyRequired reports whether the catalog requires keys. If so, the key must not be sent to
+	// the target.
 	KeyRequired bool
 }
 
@@ -209,8 +210,9 @@
 	return a.cfg.Source.Confirm(ctx, a.lease/renewDivisor)
 }
 
-// renewDivisor is the ratio of the lease to the age at which it is renewed. The remaining time
-// covers a store that does not answer until a route through a peer is found.
+// renewDivisor is the ratio of the lease to the age at which it is renewed. The rest of the lease
+// covers the time in which the store is unresponsive and no connection through a peer has been
+// found yet.
 const renewDivisor = 3
 
 // ConfigAge returns the time since the last confirmation. It reports false if there was none.
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -151,7 +151,7 @@
 			t.Fatal(err)
 		}
 		if id.Version != before.Version || id.Version == h.current.Get().Version {
-			t.Errorf("got version %d, expected %d", id.Version, before.Version)
+			t.Errorf("got version %d, want %d", id.Version, before.Version)
 		}
 	})
 }
--- a/access/fuzz_test.go
+++ b/access/fuzz_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against a key that is parsed from a header with no key or with several.
+// Guards against a key that is parsed from a header without a key or with several.
 func FuzzCredentials(f *testing.F) {
 	for _, s := range []string{"Bearer k", "bearer  k ", "Bearer", "Basic k", "Bearer a b", "Bearer\tk", "Bearer \x00\xff", strings.Repeat("B", 9000)} {
 		f.Add(s)
--- a/events/events.go
+++ b/events/events.go
@@ -27,7 +27,7 @@
 	ID   uint64 // 0 when the event has no ID
 	Raw  []byte // all bytes of the event, including the final blank line
 	Data []byte // values of the data fields, joined by line feeds
-	// Any reports whether the event has a data field, which may be empty.
+	// HasData reports whether the event has a data field, which may be empty.
 	HasData bool
 }
 
@@ -38,12 +38,12 @@
 	lastID uint64
 }
 
-// readBufferBytes is the buffer size of one stream. It is small because many streams are
-// open at a time and an event has about 100 bytes.
+// readBufferBytes is the buffer size of one stream. It is small because many streams are open
+// at a time and an event has about 100 bytes.
 const readBufferBytes = 4096
 
-// NewReader returns a Reader of a stream that continues after the event with ID last; 0
-// stands for a stream from its start.
+// NewReader returns a Reader of a stream that continues after the event with ID last. A last of
+// 0 stands for a stream from its start.
 func NewReader(r io.Reader, last uint64) *Reader {
 	return &Reader{in: bufio.NewReaderSize(r, readBufferBytes), lastID: last}
 }
