--- a/quarantine/archive.go
+++ b/quarantine/archive.go
@@ -39,7 +39,7 @@
 	partition store.Partition
 	loaded    bool
 	saved     map[Key]uint64 // Suspect.LastChange at the time of writing; 0 if read from the store
-	retryAt   time.Time      // after a failed call; zero if the last call succeeded
+	retryAt   time.Time      // time of the next call after a failed one; zero if the last succeeded
 }
 
 // NewArchive returns an Archive that persists the held requests of tr in a topic with the given
--- a/quarantine/attribute.go
+++ b/quarantine/attribute.go
@@ -8,28 +8,28 @@
 
 // Weights of crashes and the sums of weights at which a request is held.
 const (
-	// weightUnanswered is the weight of a crash before the request's answer began,
-	// weightAnswered that of a crash after it.
-	weightUnanswered = 2
-	weightAnswered   = 1
+	// weightBeforeResponse is the weight of a crash before the request's response began,
+	// weightDuringResponse that of a crash after it.
+	weightBeforeResponse = 2
+	weightDuringResponse = 1
 	// explainedDiscount is subtracted from a crash that is attributed to another request. It is
 	// less than the whole weight because requests that each crash targets and ran on the same
 	// ones would otherwise clear each other.
 	explainedDiscount = 1
-	// holdThreshold corresponds to three unexplained crashes before the answer began. A single
+	// holdThreshold corresponds to three unexplained crashes before the response began. A single
 	// crash ends all requests that run beside its cause, and a sound request can be present at
-	// two by coincidence.
-	holdThreshold = 3 * weightUnanswered
+	// two crashes by coincidence.
+	holdThreshold = 3 * weightBeforeResponse
 	// clearedHoldThreshold applies to a request that has completed after a crash.
 	clearedHoldThreshold = 2 * holdThreshold
 )
 
 // weight returns the weight of a crash that is not void.
 func (m *trackedMark) weight() int {
-	if m.Answered {
-		return weightAnswered
+	if m.ResponseBegan {
+		return weightDuringResponse
 	}
-	return weightUnanswered
+	return weightBeforeResponse
 }
 
 // updateCulprits recomputes the requests that cause crashes. Each crash has one cause: the
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -47,7 +47,7 @@
 	timeToCrash = 80 * time.Millisecond
 	downTime    = 3500 * time.Millisecond
 	maxSlotWait = 300 * time.Millisecond
-	// firstEvent is the time after which a sound request has begun to answer.
+	// firstEvent is the time after which the response of a sound request has begun.
 	firstEvent = 50 * time.Millisecond
 )
 
@@ -126,8 +126,8 @@
 		if r.crashing && !sim.now.Before(r.crashAt) {
 			sim.crashes[r.key] = append(sim.crashes[r.key], sim.now)
 		}
-		answered := !r.crashing && sim.now.Sub(r.startedAt) >= firstEvent
-		sim.table.AddCrash(sim.now, quarantine.Mark{Key: r.key, Target: target.instance(), At: sim.now, Answered: answered})
+		responseBegan := !r.crashing && sim.now.Sub(r.startedAt) >= firstEvent
+		sim.table.AddCrash(sim.now, quarantine.Mark{Key: r.key, Target: target.instance(), At: sim.now, ResponseBegan: responseBegan})
 		const attempts = 2
 		if r.item || r.runs < attempts {
 			sim.pending = append(sim.pending, r)
@@ -191,8 +191,8 @@
 // A crash ends up to eight runs, and the requests that were cut off are retried on other
 // targets, where they can meet the same cause again. Counting crashes alone holds 35 sound
 // items beside six crashing requests over 20 seeds. A crash must therefore be attributed to one
-// cause, count less once the answer has begun, and be voided by complete answers, so that sound
-// requests are served.
+// cause, count less once the response has begun, and be voided by complete responses, so that
+// sound requests are served.
 func TestSoundRequestsBesideCrashingOnesAreServed(t *testing.T) {
 	const maxLateRuns = 3
 	for _, crashing := range []int{1, 3, 6} {
--- a/quarantine/spread.go
+++ b/quarantine/spread.go
@@ -75,7 +75,7 @@
 	out := &wire.CrashMarks{}
 	for _, m := range marks {
 		out.Marks = append(out.Marks, &wire.CrashMark{
-			Key: m.Key[:], Instance: m.Target.ID, Born: m.Target.StartedUnixMs, AtUnixMs: m.At.UnixMilli(), Answered: m.Answered, Void: m.Void,
+			Key: m.Key[:], Instance: m.Target.ID, Born: m.Target.StartedUnixMs, AtUnixMs: m.At.UnixMilli(), Answered: m.ResponseBegan, Void: m.Void,
 		})
 	}
 	return out
@@ -90,7 +90,7 @@
 		}
 		out = append(out, Mark{
 			Key: Key(m.GetKey()), Target: targets.Incarnation{ID: m.GetInstance(), StartedUnixMs: m.GetBorn()},
-			At: time.UnixMilli(m.GetAtUnixMs()), Answered: m.GetAnswered(), Void: m.GetVoid(),
+			At: time.UnixMilli(m.GetAtUnixMs()), ResponseBegan: m.GetAnswered(), Void: m.GetVoid(),
 		})
 	}
 	return out
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -11,34 +11,35 @@
 
 // Limits of a Table.
 const (
-	// HoldDuration is how long a request is held after its last crash. The next run then decides: if
-	// it completes, the request is cleared; if its target crashes, the request is held again.
+	// HoldDuration is how long a request is held after its last crash. The next run then
+	// decides: if it completes, the request is cleared; if its target crashes, the request is
+	// held again.
 	HoldDuration = 10 * time.Minute
 	// markTTL is how long a crash counts.
 	markTTL = 2 * HoldDuration
 	// maxKeys and maxMarksPerKey bound memory and the data sent to a process that joins.
 	maxKeys        = 512
 	maxMarksPerKey = 16
-	// answerSpan is the least time for which a complete answer voids crashes that are reported
-	// after it. Without it a popular request, which is present on each target that crashes,
-	// would be held.
-	answerSpan = 5 * time.Second
-	// maxAnswersPerSpan bounds the answers that are remembered in each of the two spans.
-	maxAnswersPerSpan = 4096
+	// successSpan is the least time for which a complete response voids crashes that are
+	// reported after it. Without it a popular request, which is present on each target that
+	// crashes, would be held.
+	successSpan = 5 * time.Second
+	// maxSuccessesPerSpan bounds the successes that are remembered in each of the two spans.
+	maxSuccessesPerSpan = 4096
 )
 
-// Mark records that a request was running on a target when the target crashed. Marks only ever
-// change to void or answered, so processes that exchange them in any order converge to the same
-// state.
+// Mark records that a request was running on a target when the target crashed. Void and
+// ResponseBegan only ever change to true, so processes that exchange marks in any order converge
+// to the same state.
 type Mark struct {
 	Key    Key
 	Target targets.Incarnation
 	At     time.Time
-	// Answered says that the request's answer had begun. A request that crashes its targets
-	// usually does so before it answers, whereas the requests beside it have usually begun to
-	// answer.
-	Answered bool
-	Void     bool // the request completed afterwards, or an operator cleared it
+	// ResponseBegan says that the response had begun before the crash. A request that crashes
+	// its targets usually does so before its response begins, whereas the responses of the
+	// requests beside it have usually begun.
+	ResponseBegan bool
+	Void          bool // the request completed afterwards, or an operator cleared it
 }
 
 // trackedMark is a Mark with its bookkeeping in a Table.
@@ -98,14 +99,14 @@
 	// or ceased to be one, which affects the others too. Most marks are the first of their
 	// request and do not set it.
 	dirty bool
-	// answers are the requests answered in the current span and in the one before.
-	answers   [2]map[Key]bool
+	// successes are the requests that completed in the current span and in the one before.
+	successes [2]map[Key]bool
 	rotatedAt time.Time // start of the current span
 }
 
 // NewTable returns an empty Table.
 func NewTable() *Table {
-	return &Table{records: make(map[Key]*record), culprits: make(map[Key]bool), answers: [2]map[Key]bool{{}, {}}}
+	return &Table{records: make(map[Key]*record), culprits: make(map[Key]bool), successes: [2]map[Key]bool{{}, {}}}
 }
 
 // AddCrash records a crash that this process observed.
@@ -145,17 +146,17 @@
 	case old == nil:
 		old = &trackedMark{Mark: m, local: local}
 		rec.marks[m.Target] = old
-	case (!m.Void || old.Void) && (!m.Answered || old.Answered):
+	case (!m.Void || old.Void) && (!m.ResponseBegan || old.ResponseBegan):
 		return // nothing new
 	}
 	old.Void = old.Void || m.Void
-	old.Answered = old.Answered || m.Answered
+	old.ResponseBegan = old.ResponseBegan || m.ResponseBegan
 	if t.records[m.Key] == nil && !t.makeRoom(rec) {
 		return
 	}
 	t.records[m.Key] = rec
 	t.recordChange(old, source)
-	if !old.Void && t.answeredRecently(now, m.Key) {
+	if !old.Void && t.succeededRecently(now, m.Key) {
 		old.Void = true
 		t.recordChange(old, nil)
 	}
@@ -221,33 +222,32 @@
 	)
 }
 
-// RecordSuccess records a complete answer to a request, which its target survived, and clears
+// RecordSuccess records a complete response to a request, which its target survived, and clears
 // the request.
 func (t *Table) RecordSuccess(now time.Time, key Key) {
 	t.rotate(now)
-	if len(t.answers[0]) < maxAnswersPerSpan {
-		t.answers[0][key] = true
+	if len(t.successes[0]) < maxSuccessesPerSpan {
+		t.successes[0][key] = true
 	}
 	t.Clear(key)
 }
 
-// rotate starts a new span of answers if the current one is over.
+// rotate starts a new span of successes if the current one is over.
 func (t *Table) rotate(now time.Time) {
-	if now.Sub(t.rotatedAt) < answerSpan {
+	if now.Sub(t.rotatedAt) < successSpan {
 		return
 	}
-	if now.Sub(t.rotatedAt) > 2*answerSpan {
-		t.answers[0] = map[Key]bool{}
+	if now.Sub(t.rotatedAt) > 2*successSpan {
+		t.successes[0] = map[Key]bool{}
 	}
-	t.answers[0], t.answers[1] = map[Key]bool{}, t.answers[0]
+	t.successes[0], t.successes[1] = map[Key]bool{}, t.successes[0]
 	t.rotatedAt = now
 }
 
-// answeredRecently reports whether the request was answered completely in this span or the one
-// before.
-func (t *Table) answeredRecently(now time.Time, key Key) bool {
+// succeededRecently reports whether the request completed in the current span or the one before.
+func (t *Table) succeededRecently(now time.Time, key Key) bool {
 	t.rotate(now)
-	return t.answers[0][key] || t.answers[1][key]
+	return t.successes[0][key] || t.successes[1][key]
 }
 
 // Clear voids all marks of a request. It reports false if no crash counts against it.
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -27,14 +27,14 @@
 	return out
 }
 
-// Processes receive marks of crashes and answers from each other in any order and more than
+// Processes receive marks of crashes and of successes from each other in any order and more than
 // once. They must converge to the same held requests.
 func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one := rapid.Custom(func(t *rapid.T) quarantine.Mark {
 			m := mark(rapid.IntRange(0, 4).Draw(t, "key"), rapid.IntRange(0, 9).Draw(t, "target"), 0)
 			m.At = m.At.Add(time.Duration(len(m.Target.ID)) * time.Second) // the same time for each report of one crash
-			m.Answered = rapid.Bool().Draw(t, "answered")
+			m.ResponseBegan = rapid.Bool().Draw(t, "answered")
 			m.Void = rapid.IntRange(0, 5).Draw(t, "void") == 0
 			return m
 		})
@@ -182,22 +182,22 @@
 		tab.Merge(start, marks, nil)
 	}
 	if n := len(tab.HeldKeys(start)); n != requests {
-		t.Fatalf("%d requests are held", n)
+		t.Fatalf("%d requests are held, want all", n)
 	}
 }
 
 // A popular request was present at three crashes that another request caused, at two of them
-// with six and five events of its answer received, and was held wrongly. Crashes after the
-// answer began therefore count half, and a request that crashes its targets that late is held
+// with six and five events of its response received, and was held wrongly. Crashes after the
+// response began therefore count half, and a request that crashes its targets that late is held
 // after six crashes.
-func TestCrashAfterAnswerBeganCountsHalf(t *testing.T) {
+func TestCrashAfterResponseBeganCountsHalf(t *testing.T) {
 	tab := quarantine.NewTable()
 	for n := range 6 {
 		if _, held := tab.Held(start, testKey(1)); held {
 			t.Fatalf("held after %d crashes", n)
 		}
 		m := mark(1, n, 0)
-		m.Answered = true
+		m.ResponseBegan = true
 		tab.AddCrash(start, m)
 	}
 	if _, held := tab.Held(start, testKey(1)); !held {
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -50,7 +50,7 @@
 	changed chan struct{}     // closed and replaced at each change of the table
 }
 
-// NewTracker returns an instance with an empty table.
+// NewTracker returns a Tracker with an empty table.
 func NewTracker(cfg Config) *Tracker {
 	return &Tracker{cfg: cfg, table: NewTable(), held: make(map[Key]time.Time), changed: make(chan struct{})}
 }
@@ -72,7 +72,7 @@
 	}
 }
 
-// Run describes one run of a request at a target that ended without a complete answer.
+// Run describes one run of a request at a target that ended without a complete response.
 type Run struct {
 	Key     Key
 	Request string // ID of the request or item
@@ -81,8 +81,8 @@
 	Took    time.Duration // time since the request was sent
 }
 
-// RecordBroken records a run whose connection broke and reports whether its target crashed. It probes
-// the target, for at most probeTimeout.
+// RecordBroken records a run whose connection broke and reports whether its target crashed. It
+// probes the target, for at most probeTimeout.
 func (tr *Tracker) RecordBroken(ctx context.Context, r Run) bool {
 	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -94,17 +94,17 @@
 	tr.cfg.Log.Info("target crashed under a request", logging.F("key", r.Key.String()), logging.F("request", r.Request),
 		logging.F("instance", r.Target.ID), logging.F("events", r.Events), logging.F("took_ms", r.Took.Milliseconds()))
 	tr.update("crashes attributed to another request", func(now time.Time) {
-		tr.table.AddCrash(now, Mark{Key: r.Key, Target: r.Target.Incarnation(), At: now, Answered: r.Events > 0})
+		tr.table.AddCrash(now, Mark{Key: r.Key, Target: r.Target.Incarnation(), At: now, ResponseBegan: r.Events > 0})
 	})
 	return true
 }
 
-// RecordSuccess records that a request was answered completely.
+// RecordSuccess records that a request got a complete response.
 func (tr *Tracker) RecordSuccess(key Key) {
-	tr.update("it was answered completely", func(now time.Time) { tr.table.RecordSuccess(now, key) })
+	tr.update("it got a complete response", func(now time.Time) { tr.table.RecordSuccess(now, key) })
 }
 
-// Clear releases a request at an operator's demand. It reports false if no crash counts against
+// Clear releases a request on behalf of an operator. It reports false if no crash counts against
 // the request.
 func (tr *Tracker) Clear(key Key) (known bool) {
 	tr.update("cleared by an operator", func(time.Time) { known = tr.table.Clear(key) })
@@ -199,7 +199,7 @@
 // last call. The caller holds mu.
 func (tr *Tracker) heldDiffLocked(now time.Time) (held, released []Key) {
 	if len(tr.table.culprits) == 0 && len(tr.held) == 0 {
-		return nil, nil // the usual case, for nearly every answer
+		return nil, nil // the usual case, for nearly every response
 	}
 	current := make(map[Key]time.Time)
 	for _, key := range tr.table.HeldKeys(now) {
