--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -86,7 +86,8 @@
 		se = &exchange.SendError{Fault: exchange.FaultBroken, Sent: true, Cause: err}
 	}
 	if s.ctx.Err() != nil {
-		// The caller disconnected or the deadline passed; neither is a fault of the target.
+		// The caller disconnected or the deadline passed; neither is evidence against the
+		// target.
 		s.fail(TimedOut, 0)
 		return finished
 	}
