--- a/balance/balance.go
+++ b/balance/balance.go
@@ -80,7 +80,7 @@
 // whether its connection can be used again.
 func (t *Table) OnlineEnded(now time.Time, id string, reusable bool) {
 	if v := t.views[id]; v != nil {
-		v.onlineInFlight = max(v.onlineInFlight-1, 0) // the request may have started at an earlier incarnation
+		v.onlineInFlight = max(v.onlineInFlight-1, 0) // an earlier incarnation may have got the request
 		v.conns.release(now, reusable)
 	}
 }
@@ -135,14 +135,14 @@
 // queue of known length is then better than a queue of unknown length.
 func (t *Table) PickReported(now time.Time, service string, tried map[string]bool, draw float64) (Choice, bool) {
 	all := t.candidates(now, service, tried)
-	var known []*View
+	var reported []*View
 	for _, v := range all {
 		if v.reported(now) {
-			known = append(known, v)
+			reported = append(reported, v)
 		}
 	}
-	if len(known) > 0 {
-		all = known
+	if len(reported) > 0 {
+		all = reported
 	}
 	return t.choose(now, all, draw)
 }
@@ -233,7 +233,7 @@
 }
 
 // Alive reports whether a target's agent has recently reported that the target responds. A
-// request there without an answer is then waiting for a slot.
+// request there without a response is then waiting for a slot.
 func (t *Table) Alive(now time.Time, id string) bool {
 	v := t.views[id]
 	return v != nil && !v.reportedAt.IsZero() && now.Sub(v.reportedAt) <= aliveReportAge && !v.report.Silent
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -160,8 +160,8 @@
 	if c, ok := tab.Pick(start, "s", nil, 0.5); ok {
 		t.Fatalf("Pick chose %s", c.Instance.ID)
 	}
-	if rooms := tab.BatchTargets(start, "s"); len(rooms) > 0 {
-		t.Fatalf("batch work may go to %v", rooms)
+	if got := tab.BatchTargets(start, "s"); len(got) > 0 {
+		t.Fatalf("batch work may go to %v", got)
 	}
 }
 
@@ -178,12 +178,13 @@
 		t.Fatal("Pick chose no target")
 	}
 	// Batch work can wait until a target is no longer ejected.
-	if rooms := tab.BatchTargets(start, "s"); len(rooms) > 0 {
-		t.Fatalf("batch work may go to ejected targets %v", rooms)
+	if got := tab.BatchTargets(start, "s"); len(got) > 0 {
+		t.Fatalf("batch work may go to ejected targets %v", got)
 	}
 }
 
-// Guards against ejecting a healthy target that lost single answers.
+// Guards against a healthy target that gets no requests for seconds because it lost single
+// responses.
 func TestEjectionNeedsConsecutiveFailuresAndGrows(t *testing.T) {
 	tab := balance.NewTable(1)
 	tab.Replace(instances(1, 8))
@@ -208,27 +209,27 @@
 }
 
 // Guards against online requests that wait behind batch work at a target whose agent has
-// failed: without an agent nobody can ask the batch work to yield.
+// failed: without an agent, batch work is not asked to yield.
 func TestNoBatchWorkWithoutCurrentReport(t *testing.T) {
 	tab := balance.NewTable(1)
 	tab.Replace(instances(1, 8))
-	if rooms := tab.BatchTargets(start, "s"); len(rooms) != 0 {
-		t.Fatalf("without any report: got %v, want no targets", rooms)
+	if got := tab.BatchTargets(start, "s"); len(got) != 0 {
+		t.Fatalf("without any report: got %v, want no targets", got)
 	}
 	tab.UpdateLoad(start, "i0", balance.Report{Active: 6, Slots: 8, FreeSeats: 2})
-	if rooms := tab.BatchTargets(start, "s"); len(rooms) != 1 || rooms[0].Free != 2 {
-		t.Fatalf("with a current report: got %v, want one target with 2 free slots", rooms)
+	if got := tab.BatchTargets(start, "s"); len(got) != 1 || got[0].Free != 2 {
+		t.Fatalf("with a current report: got %v, want one target with 2 free slots", got)
 	}
 	tab.RecordSeatReply("i0", true)
-	if rooms := tab.BatchTargets(start, "s"); len(rooms) != 1 || rooms[0].Free != 1 {
-		t.Fatalf("after a granted seat: got %v, want one target with 1 free slot", rooms)
+	if got := tab.BatchTargets(start, "s"); len(got) != 1 || got[0].Free != 1 {
+		t.Fatalf("after a granted seat: got %v, want one target with 1 free slot", got)
 	}
 	tab.RecordSeatReply("i0", false)
-	if rooms := tab.BatchTargets(start, "s"); len(rooms) != 0 {
-		t.Fatalf("after a refused seat: got %v, want no targets", rooms)
+	if got := tab.BatchTargets(start, "s"); len(got) != 0 {
+		t.Fatalf("after a refused seat: got %v, want no targets", got)
 	}
-	if rooms := tab.BatchTargets(start.Add(3*time.Second), "s"); len(rooms) != 0 {
-		t.Fatalf("with an outdated report: got %v, want no targets", rooms)
+	if got := tab.BatchTargets(start.Add(3*time.Second), "s"); len(got) != 0 {
+		t.Fatalf("with an outdated report: got %v, want no targets", got)
 	}
 }
 
@@ -257,7 +258,7 @@
 
 // Guards against a failing target that draws more requests than any healthy one: it
 // fails at once, so it always looks empty, and each entry sends three requests there
-// before each ejection.
+// before each ejection unless failures make the target suspect.
 //
 // The replay has 40 entries, 56 targets of which five fail at once, and 300 requests per
 // second for five seconds. Without suspect targets 130 of 1,500 requests reach a failing
@@ -336,8 +337,9 @@
 	}
 }
 
-// Guards against treating suspect targets as failed: a service must still serve requests if
-// all of its targets are suspect, also after all agents failed, or all but a full one.
+// Guards against a service that rejects requests because its targets are suspect. It must
+// still serve requests if all of them are suspect, for example after all agents failed, or
+// all but one that is full.
 func TestSuspectTargetsStillServe(t *testing.T) {
 	tab := balance.NewTable(0)
 	tab.Replace(instances(3, 2))
--- a/balance/batchtargets.go
+++ b/balance/batchtargets.go
@@ -12,14 +12,14 @@
 type BatchTarget struct {
 	Instance targets.Instance
 	Free     int  // estimated number of free slots that batch work may use
-	Suspect  bool // the target may not answer as expected
+	Suspect  bool // the target may not respond as expected
 	idleConn bool // this process has an idle connection to it
 }
 
 // BatchTargets returns the targets of a service whose agents have free seats for batch work.
-// Targets that may not answer come last; otherwise targets with an idle connection come
-// first, then those with the most free slots. Targets without a current report get no
-// batch work, because no agent would notice online requests waiting behind it.
+// Suspect targets come last; otherwise targets with an idle connection come first, then
+// those with the most free slots. Targets without a current report get no batch work,
+// because no agent would notice online requests waiting behind it.
 func (t *Table) BatchTargets(now time.Time, service string) []BatchTarget {
 	return t.batchTargets(now, service, false)
 }
--- a/balance/outcome.go
+++ b/balance/outcome.go
@@ -7,10 +7,10 @@
 
 // Results of a call.
 const (
-	Succeeded   Outcome = iota // the target answered as expected
-	Failed                     // the answer was invalid, cut off or an error
+	Succeeded   Outcome = iota // the target responded as expected
+	Failed                     // the response was invalid, cut off or an error
 	Unreachable                // the target was unreachable or stopped responding
-	Slow                       // a slot was free, but the answer did not begin in time
+	Slow                       // a slot was free, but the response did not begin in time
 )
 
 // RecordOutcome records the result of a call to a target. It returns how long it ejects the
--- a/balance/suspect.go
+++ b/balance/suspect.go
@@ -6,7 +6,7 @@
 const (
 	// suspectDuration is how long one failure makes a target suspect. A target that fails
 	// every request at once looks empty and would otherwise get more requests than any
-	// healthy one. A healthy target that lost one answer is cleared by its next success.
+	// healthy one. A healthy target that lost one response is cleared by its next success.
 	suspectDuration = 2 * time.Second
 	// minFailingEntries is the number of entries that must report failures of a target
 	// before an entry without a failure of its own suspects it. A single entry may have
@@ -14,10 +14,10 @@
 	minFailingEntries = 2
 )
 
-// suspect reports whether a target may not answer: it failed for this process recently,
+// suspect reports whether a target may not respond: it failed for this process recently,
 // it does not respond to its agent, other entries reported failures, or its agent has
-// stopped reporting. If all targets are suspect, the choice among them is the same as if
-// none were.
+// stopped reporting. If all targets are suspect, the choice among them still follows their
+// free slots.
 func (v *View) suspect(now time.Time) bool {
 	if now.Before(v.suspectUntil) {
 		return true
--- a/balance/view.go
+++ b/balance/view.go
@@ -15,8 +15,8 @@
 	// target that stays down costs one request per maxEjection.
 	minEjection = 500 * time.Millisecond
 	maxEjection = 4 * time.Second
-	// ejectAfterFailures is the number of consecutive failed answers that eject a target.
-	// A healthy target loses an answer now and then, but rarely three in a row.
+	// ejectAfterFailures is the number of consecutive failed responses that eject a
+	// target. A healthy target loses a response now and then, but rarely three in a row.
 	ejectAfterFailures = 3
 )
 
@@ -30,7 +30,7 @@
 	UrgentSeats int // further seats for items that are due soon
 	// Silent says that the target does not respond to its agent.
 	Silent bool
-	// Number of entries that recently reported failures to the agent.
+	// FailingEntries is the number of entries that recently reported failures to the agent.
 	FailingEntries int
 }
 
@@ -96,7 +96,7 @@
 	tierFree       tier = iota // a slot is free
 	tierPreempt                // batch work must yield a slot first
 	tierUnreported             // the load is unknown
-	tierSuspect                // the target may not answer
+	tierSuspect                // the target may not respond
 	tierQueue                  // the request waits until another one ends
 )
 
--- a/balance/wait.go
+++ b/balance/wait.go
@@ -6,7 +6,7 @@
 const (
 	// maxWaitingShare is the number of online requests that may wait at the chosen target
 	// before more are rejected, as a share of its slots. A longer queue only holds
-	// requests that would be answered much too late.
+	// requests whose responses would come much too late.
 	maxWaitingShare = 0.5
 	// defaultHoldTime is the assumed time that a request holds its slot until one has
 	// been observed.
@@ -17,8 +17,8 @@
 
 // ObserveHoldTime adds to a service's moving average the time that a request held its slot.
 func (t *Table) ObserveHoldTime(service string, took time.Duration) {
-	known := t.holdTime(service)
-	t.holdTimes[service] = known + time.Duration(holdTimeSmoothing*float64(took-known))
+	average := t.holdTime(service)
+	t.holdTimes[service] = average + time.Duration(holdTimeSmoothing*float64(took-average))
 }
 
 func (t *Table) holdTime(service string) time.Duration {
--- a/targets/targets.go
+++ b/targets/targets.go
@@ -103,7 +103,7 @@
 	s.addrOwner[addr] = id
 }
 
-// Supersede records that another instance answered at the address of this one.
+// Supersede records that another instance responded at the address of this one.
 func (s *Set) Supersede(id string) {
 	if in := s.byID[id]; in != nil {
 		in.Superseded = true
--- a/targets/targets_test.go
+++ b/targets/targets_test.go
@@ -57,7 +57,7 @@
 	if s.Get("new").Superseded || !s.Get("old").Superseded {
 		t.Fatalf("want only old superseded: old %+v, new %+v", s.Get("old"), s.Get("new"))
 	}
-	s.Supersede("new") // another instance answered there once
+	s.Supersede("new") // another instance responded there once
 	s.Put(in("new", "1:1", 1))
 	if s.Get("new").Superseded {
 		t.Fatal("a superseded live target stays superseded after its heartbeat")
@@ -66,7 +66,7 @@
 
 // Guards against a fleet without targets after a registry outage: registrations expire
 // during the outage and return within two seconds of its end, so their expiry does not
-// mean that the targets are gone.
+// mean that the targets have stopped.
 func TestExpiryAroundAnOutageIsDelayed(t *testing.T) {
 	s := targets.NewSet()
 	s.Put(in("back", "1:1", 1))
@@ -154,7 +154,7 @@
 // Guards against the cost of heartbeats: 180 targets took a twentieth of a small host's
 // CPU when each heartbeat was handled like a change of the fleet. Any change that the
 // choice of a target depends on must not count as a heartbeat.
-func TestOnlyPlainHeartbeatsRenew(t *testing.T) {
+func TestChangesDoNotCountAsHeartbeat(t *testing.T) {
 	const id, addr = "a", "1:1"
 	known := in(id, addr, 5)
 	cases := map[string]struct {
@@ -167,7 +167,7 @@
 		"older":           {put: func() targets.Instance { return in(id, addr, 4) }},
 		"unknown":         {put: func() targets.Instance { return in("b", "2:2", 1) }},
 		"other address":   {put: func() targets.Instance { return in(id, "2:2", 6) }},
-		"started again":   {put: func() targets.Instance { x := in(id, addr, 6); x.StartedUnixMs = 9; return x }},
+		"has restarted":   {put: func() targets.Instance { x := in(id, addr, 6); x.StartedUnixMs = 9; return x }},
 		"starts draining": {put: func() targets.Instance { x := in(id, addr, 6); x.Draining = true; return x }},
 		"is already draining": {
 			prepare: func(s *targets.Set) { x := in(id, addr, 5); x.Draining = true; s.Put(x) },
