--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -35,7 +35,7 @@
 	Kind             Kind
 	Shares           []Share       // at least one
 	Timeout          time.Duration // longest time that a caller waits
-	FirstEventWithin time.Duration // objective for an answer or the first event of a stream
+	FirstEventWithin time.Duration // objective for a response or the first event of a stream
 	EventGapWithin   time.Duration // objective for the time between events
 	Priority         int           // 0 is the most urgent
 	Attempts         int           // maximum number of targets that run a request
@@ -84,7 +84,7 @@
 	ReservationTTL time.Duration
 }
 
-// Limits are the limits for requests of callers.
+// Limits bounds the size and the timing of requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -75,17 +75,17 @@
 	}
 }
 
-func TestOnlyIdempotentAndResumableRoutesAreRepeatable(t *testing.T) {
-	var repeatable []string
+func TestOnlyIdempotentAndResumableRoutesAreRetryable(t *testing.T) {
+	var retryable []string
 	for _, r := range []catalog.Route{
 		{Name: "idempotent", Kind: catalog.Idempotent}, {Name: "other", Kind: catalog.NonIdempotent},
 		{Name: "stream", Kind: catalog.Streaming}, {Name: "resumable", Kind: catalog.Streaming, Resumable: true},
 	} {
 		if r.Retryable() {
-			repeatable = append(repeatable, r.Name)
+			retryable = append(retryable, r.Name)
 		}
 	}
-	if !slices.Equal(repeatable, []string{"idempotent", "resumable"}) {
-		t.Fatalf("repeatable: got %v, want idempotent and resumable", repeatable)
+	if !slices.Equal(retryable, []string{"idempotent", "resumable"}) {
+		t.Fatalf("retryable: got %v, want idempotent and resumable", retryable)
 	}
 }
--- a/catalog/workspace.go
+++ b/catalog/workspace.go
@@ -14,7 +14,7 @@
 type Workspace struct {
 	Name string
 	Keys []KeyDigest
-	// Overrides the priority of the routes that its callers use, unless nil.
+	// Priority overrides the priority of the routes that its callers use, unless it is nil.
 	Priority *int
 	// Rate is the limit in requests per second over all hosts, or 0 for no limit.
 	Rate float64
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -60,8 +60,8 @@
 	return a.Due.Compare(b.Due)
 }
 
-// Estimator estimates how long items run, with moving averages. It is not safe for concurrent
-// use.
+// Estimator estimates from moving averages how long items run. It is not safe for
+// concurrent use.
 type Estimator struct {
 	eventsPerItem float64
 	timePerEvent  time.Duration
@@ -84,20 +84,20 @@
 }
 
 // ObserveItem adds the number of events of a finished item.
-func (p *Estimator) ObserveItem(events uint64) {
-	p.eventsPerItem += smoothing * (float64(events) - p.eventsPerItem)
+func (e *Estimator) ObserveItem(events uint64) {
+	e.eventsPerItem += smoothing * (float64(events) - e.eventsPerItem)
 }
 
 // ObserveRun adds the time that a run took for some events. It ignores short runs.
-func (p *Estimator) ObserveRun(events uint64, took time.Duration) {
+func (e *Estimator) ObserveRun(events uint64, took time.Duration) {
 	if events == 0 || took < minRunTime {
 		return
 	}
-	p.timePerEvent += time.Duration(smoothing * float64(took/time.Duration(events)-p.timePerEvent))
+	e.timePerEvent += time.Duration(smoothing * float64(took/time.Duration(events)-e.timePerEvent))
 }
 
-// Remaining estimates how long an item still has to run when the given number of events is done.
-func (p *Estimator) Remaining(done uint64) time.Duration {
-	left := max(p.eventsPerItem-float64(done), 1)
-	return time.Duration(left * float64(p.timePerEvent))
+// Remaining estimates how long an item still has to run after the given number of events.
+func (e *Estimator) Remaining(done uint64) time.Duration {
+	left := max(e.eventsPerItem-float64(done), 1)
+	return time.Duration(left * float64(e.timePerEvent))
 }
--- a/schedule/schedule_test.go
+++ b/schedule/schedule_test.go
@@ -105,15 +105,15 @@
 
 // The estimates follow the observed runs.
 func TestEstimatesFollowObservedRuns(t *testing.T) {
-	p := schedule.NewEstimator()
+	e := schedule.NewEstimator()
 	for range 100 {
-		p.ObserveRun(50, 50*40*time.Millisecond)
-		p.ObserveItem(300)
+		e.ObserveRun(50, 50*40*time.Millisecond)
+		e.ObserveItem(300)
 	}
-	if left := p.Remaining(100); left < 7*time.Second || left > 9*time.Second {
+	if left := e.Remaining(100); left < 7*time.Second || left > 9*time.Second {
 		t.Fatalf("200 events of 40 ms each: estimated %s, want 7 to 9 s", left)
 	}
-	if p.Remaining(1000) <= 0 {
+	if e.Remaining(1000) <= 0 {
 		t.Fatal("no time left for an item with more events than usual")
 	}
 }
