--- a/seats/agent.go
+++ b/seats/agent.go
@@ -25,19 +25,19 @@
 	// busyPollInterval is the polling interval of the target while batch work runs there
 	// or an entry watches. A waiting online request is noticed within it.
 	busyPollInterval = 25 * time.Millisecond
-	// idlePollInterval is the polling interval without any seats and watches.
+	// idlePollInterval is the polling interval while there are no seats and no watches.
 	idlePollInterval = 250 * time.Millisecond
-	// minLoadInterval is the shortest interval between two loads sent to a watcher. The
-	// gap is covered by reserving a slot at the target itself where it may be taken.
+	// minLoadInterval is the shortest interval between two loads sent to a watcher. If a
+	// slot may be taken between two loads, an entry reserves it at the target itself.
 	minLoadInterval = 50 * time.Millisecond
 	// loadHeartbeat is the interval at which an unchanged load is sent, so that a missing
 	// report means that the agent has failed.
 	loadHeartbeat = 250 * time.Millisecond
 	pollTimeout   = 200 * time.Millisecond
-	// silentAfter is how long the target may leave polls unanswered before the agent
-	// grants no more seats and reports it as silent. A target answers its own host within
-	// a few milliseconds under any load.
-	silentAfter = 300 * time.Millisecond
+	// unresponsiveAfter is how long the target may leave polls unanswered before the agent
+	// grants no more seats and reports it as unresponsive. A target responds to its own
+	// host within a few milliseconds under any load.
+	unresponsiveAfter = 300 * time.Millisecond
 	// failureReportTTL is how long an entry's failure report counts.
 	failureReportTTL = 2 * time.Second
 )
@@ -55,16 +55,16 @@
 type Agent struct {
 	cfg AgentConfig
 
-	mu            sync.Mutex
-	arbiter       *Arbiter
-	yieldRequests map[uint64]chan struct{} // by seat ID; closed to ask for the seat back
-	lastAnswer    time.Time                // time of the target's last answer
-	lastNoAnswer  time.Time                // time of the last unanswered poll
-	silent        bool                     // polls have been unanswered for silentAfter
-	freeSeats     int                      // seats that could be granted at lastAnswer
-	users         int                      // open watches and seats
-	changed       chan struct{}            // closed and replaced when the load changes
-	pollNow       chan struct{}            // receives a value when users becomes 1
+	mu             sync.Mutex
+	arbiter        *Arbiter
+	yieldRequests  map[uint64]chan struct{} // by seat ID; closed to ask for the seat back
+	lastResponse   time.Time                // time of the target's last response
+	lastNoResponse time.Time                // time of the last unanswered poll
+	unresponsive   bool                     // polls have been unanswered for unresponsiveAfter
+	freeSeats      int                      // seats that could be granted at lastResponse
+	users          int                      // open watches and seats
+	changed        chan struct{}            // closed and replaced when the load changes
+	pollNow        chan struct{}            // receives a value when users becomes 1
 	// failureReports is the time of the last failure report, by entry.
 	failureReports map[string]time.Time
 	draining       bool
@@ -115,7 +115,7 @@
 		if err == nil {
 			a.recordLoad(load)
 		} else {
-			a.recordNoAnswer()
+			a.recordNoResponse()
 		}
 		a.waitForPoll(ctx)
 	}
@@ -153,17 +153,17 @@
 func (a *Agent) recordLoad(load Load) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.lastAnswer = time.Now()
-	same := a.arbiter.Load() == load && !a.silent
-	if a.silent {
+	a.lastResponse = time.Now()
+	same := a.arbiter.Load() == load && !a.unresponsive
+	if a.unresponsive {
 		// The target may have restarted. Failures of the earlier incarnation must not
 		// count against the new one, which would otherwise get requests only after all
 		// other targets.
-		maps.DeleteFunc(a.failureReports, func(_ string, at time.Time) bool { return at.Before(a.lastNoAnswer) })
+		maps.DeleteFunc(a.failureReports, func(_ string, at time.Time) bool { return at.Before(a.lastNoResponse) })
 	}
-	a.silent = false
+	a.unresponsive = false
 	before := a.freeSeats
-	for _, id := range a.arbiter.Report(a.lastAnswer, load) {
+	for _, id := range a.arbiter.Report(a.lastResponse, load) {
 		close(a.yieldRequests[id])
 		delete(a.yieldRequests, id)
 		a.cfg.Metrics.Count("seat_asked_back")
@@ -171,20 +171,20 @@
 	a.cfg.Metrics.SetGauge("target_active", float64(load.Active))
 	a.cfg.Metrics.SetGauge("target_queued", float64(load.Queued))
 	a.cfg.Metrics.SetGauge("seats_held", float64(a.arbiter.Held()))
-	a.freeSeats = max(a.arbiter.FreeSeats(a.lastAnswer), 0)
+	a.freeSeats = max(a.arbiter.FreeSeats(a.lastResponse), 0)
 	if !same || (a.freeSeats > 0) != (before > 0) {
 		a.notifyLocked()
 	}
 }
 
-// recordNoAnswer records an unanswered poll and notifies the watchers once the target has
-// been silent for silentAfter.
-func (a *Agent) recordNoAnswer() {
+// recordNoResponse records an unanswered poll and notifies the watchers once the target has
+// not responded for unresponsiveAfter.
+func (a *Agent) recordNoResponse() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.lastNoAnswer = time.Now()
-	if !a.silent && time.Since(a.lastAnswer) > silentAfter {
-		a.silent = true
+	a.lastNoResponse = time.Now()
+	if !a.unresponsive && time.Since(a.lastResponse) > unresponsiveAfter {
+		a.unresponsive = true
 		a.notifyLocked()
 	}
 }
@@ -286,7 +286,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	if a.draining || now.Sub(a.lastAnswer) > silentAfter {
+	if a.draining || now.Sub(a.lastResponse) > unresponsiveAfter {
 		return 0, nil, a.loadLocked()
 	}
 	id, ok := a.arbiter.Acquire(now, due)
@@ -323,7 +323,7 @@
 		Room:   uint32(max(a.arbiter.FreeSeats(time.Now()), 0)),
 
 		Spare:  uint32(max(a.arbiter.UrgentSeats(time.Now()), 0)),
-		Silent: a.silent, Witnesses: uint32(a.failingEntriesLocked()),
+		Silent: a.unresponsive, Witnesses: uint32(a.failingEntriesLocked()),
 	}
 }
 
@@ -333,7 +333,7 @@
 	defer cancel()
 	go func() {
 		defer cancel()
-		_ = st.Recv(&wire.Load{}) // the watcher sends nothing more; Recv returns at the end of the stream
+		_ = st.Recv(&wire.Load{}) // returns at the end of the stream
 	}()
 	a.mu.Lock()
 	a.addUserLocked()
@@ -346,7 +346,7 @@
 	for ctx.Err() == nil {
 		a.mu.Lock()
 		load, changed := a.loadLocked(), a.changed
-		known := !a.lastAnswer.IsZero() // false until the first answer of the target
+		known := !a.lastResponse.IsZero() // false until the target's first response
 		a.mu.Unlock()
 		if known && st.Send(load) != nil {
 			return
--- a/seats/agent_test.go
+++ b/seats/agent_test.go
@@ -37,7 +37,7 @@
 	ft.mu.Lock()
 	defer ft.mu.Unlock()
 	if ft.failing {
-		return seats.Load{}, errors.New("no answer")
+		return seats.Load{}, errors.New("no response")
 	}
 	return ft.load, nil
 }
@@ -120,9 +120,9 @@
 	})
 }
 
-// Guards against batch work at a failed target: the target stops answering while its agent
+// Guards against batch work at a failed target: the target stops responding while its agent
 // still runs, and the agent must not grant seats by the last load it got.
-func TestNoSeatsAtASilentTarget(t *testing.T) {
+func TestNoSeatsAtUnresponsiveTarget(t *testing.T) {
 	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
 		f := connect(ctx, seats.Load{})
 		f.target.set(seats.Load{}, true)
@@ -135,7 +135,7 @@
 }
 
 // A watcher gets a changed load within about 30 ms and an unchanged load again at intervals.
-// Of a target that does not answer it learns only that it is silent.
+// Of an unresponsive target it learns only that it does not respond.
 func TestWatchReportsChangesAndHeartbeats(t *testing.T) {
 	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
 		f := connect(ctx, seats.Load{Active: 1})
@@ -169,17 +169,17 @@
 		before := reports
 		mu.Unlock()
 		time.Sleep(2 * time.Second)
-		// From then on all reports say that the target is silent, and come no more often
+		// From then on all reports say that the target is unresponsive, and come no more often
 		// than those of an unchanged load.
 		if l, after := seen(); !l.GetSilent() || after-before > 9 {
-			t.Fatalf("silent target: got %d reports in 2 s, want at most 9, all silent; last %v", after-before, l)
+			t.Fatalf("unresponsive target: got %d reports in 2 s, want at most 9, all saying so; last %v", after-before, l)
 		}
 		stop()
 		f.peer.Close()
 	})
 }
 
-// Guards against a stopping agent that leaves items in seats that nobody can ask back.
+// Guards against a stopping agent that leaves items in seats that no agent can ask back.
 func TestStoppingAgentAsksAllSeatsBack(t *testing.T) {
 	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
 		f := connect(ctx, seats.Load{})
@@ -202,9 +202,9 @@
 }
 
 // Guards against entries that keep sending requests to a failed target until each has found
-// out by itself, although its agent knows: the agent must report a silent target, and the
+// out by itself, although its agent knows: the agent must report an unresponsive target, and the
 // number of entries that reported failed requests.
-func TestAgentReportsSilentAndFailingTarget(t *testing.T) {
+func TestAgentReportsUnresponsiveAndFailingTarget(t *testing.T) {
 	inVirtualTime(t, func(ctx context.Context, t *testing.T) {
 		f := connect(ctx, seats.Load{Active: 1})
 		var mu sync.Mutex
@@ -225,7 +225,7 @@
 		}
 		f.target.set(seats.Load{}, true)
 		if l := report(); !l.GetSilent() {
-			t.Errorf("silent target: got %v", l)
+			t.Errorf("unresponsive target: got %v", l)
 		}
 		f.target.set(seats.Load{Active: 1}, false)
 		seats.ReportFailure(f.peer, "a")
