--- a/ratelimit/cluster_test.go
+++ b/ratelimit/cluster_test.go
@@ -159,7 +159,8 @@
 	return nil
 }
 
-// A request to a process that the host does not reach stays unanswered.
+// RequestGrants implements ratelimit.GrantClient. A request to a process that the host does
+// not reach gets no reply.
 func (h *host) RequestGrants(ctx context.Context, addr string, req ratelimit.GrantRequest) ratelimit.GrantReply {
 	h.c.mu.Lock()
 	h.c.grantRequests++
@@ -336,7 +337,7 @@
 }
 
 // Guards against exceeded limits and against refusals below the limit while granters are
-// killed, restarted, stopped or cut off, or while the store does not answer.
+// killed, restarted, stopped or cut off, or while the store does not respond.
 func TestLimitHoldsDuringFaults(t *testing.T) {
 	// refusedAllowed is the fraction of requests that may be refused: those at a host that
 	// reaches no granter, and those of a workspace all of whose granters are down for good.
@@ -383,7 +384,7 @@
 				h.start(n)
 			}
 		},
-		"store does not answer": func(c *cluster) {
+		"store does not respond": func(c *cluster) {
 			for _, h := range c.hosts {
 				c.store.SetFault(h.name, sharedstore.NoResponse)
 			}
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -68,7 +68,8 @@
 
 // GrantClient sends grant requests to other processes.
 type GrantClient interface {
-	// The outcome is Unanswered if the process at addr does not reply before ctx ends.
+	// RequestGrants returns the outcome Unanswered if the process at addr does not reply
+	// before ctx ends.
 	RequestGrants(ctx context.Context, addr string, req GrantRequest) GrantReply
 }
 
@@ -77,7 +78,7 @@
 	Self        string // address of this process as a granter
 	Tolerance   Tolerance
 	Shards      int
-	Owner       func(shard int) string // address of the process that acts for a shard, "" if none is known
+	Owner       func(shard int) string // address of a shard's acting process, "" if unknown
 	Granter     *Granter               // granter of this process
 	GrantClient GrantClient
 	Clock       func() time.Duration // monotonic; includes the time in which the host is suspended
@@ -347,15 +348,15 @@
 		if w.abandoned {
 			continue
 		}
-		one := r
+		reply := r
 		switch {
 		case r.Outcome != Granted:
 		case spent < r.Granted:
 			spent++
 		default:
-			one = GrantReply{Outcome: Denied, RetryAfter: minRetryAfter}
+			reply = GrantReply{Outcome: Denied, RetryAfter: minRetryAfter}
 		}
-		w.reply <- one
+		w.reply <- reply
 	}
 	return spent
 }
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -16,7 +16,7 @@
 	misdirected int // grant requests to a process that is not the owner
 }
 
-// Only the owner grants, one grant per request.
+// RequestGrants implements GrantClient. Only the owner grants, one grant per request.
 func (m *movingOwner) RequestGrants(_ context.Context, addr string, _ GrantRequest) GrantReply {
 	time.Sleep(10 * time.Millisecond)
 	m.mu.Lock()
@@ -56,7 +56,7 @@
 			if n == 100 {
 				m.move("b")
 			}
-			all.Go(func() { _ = l.Admit(t.Context(), limit) }) // the test checks the grant requests, not the result
+			all.Go(func() { _ = l.Admit(t.Context(), limit) }) // only the grant requests are checked
 			time.Sleep(time.Millisecond)
 		}
 		all.Wait()
--- a/shards/manager.go
+++ b/shards/manager.go
@@ -22,8 +22,8 @@
 	// unownedCheckInterval is how often watched shards are checked for a missing owner if no
 	// record changes.
 	unownedCheckInterval = time.Second
-	// wantedPollInterval is how often a process that needs no shards checks whether it does.
-	wantedPollInterval = 20 * time.Millisecond
+	// neededPollInterval is how often a process that needs no shards checks whether it does.
+	neededPollInterval = 20 * time.Millisecond
 	// renewInterval is how often the age of the view is checked. The view is confirmed again
 	// once it is older than the lease divided by renewDivisor.
 	renewInterval = 250 * time.Millisecond
@@ -31,7 +31,7 @@
 	// takeoverTimeout is how long an owner may fail to act before its shards are taken over.
 	// Most killed processes restart sooner and resume their shards.
 	takeoverTimeout = 3 * time.Second
-	// isolatedTakeoverTimeout replaces takeoverTimeout while no other process answers, because
+	// isolatedTakeoverTimeout replaces takeoverTimeout while no other process replies, because
 	// this process may then be the one that is cut off.
 	isolatedTakeoverTimeout = 2 * takeoverTimeout
 	// maxProbes is how many other processes are probed before this one counts as cut off.
@@ -54,14 +54,14 @@
 	Lease     time.Duration // how long a confirmed view is valid
 	Log       store.Log
 	Partition store.Partition
-	// Wanted reports whether shards are needed at present.
+	// Needed reports whether any shards are needed at present.
 	Needed func() bool
 	// Watches reports whether this process has to ensure that some process acts for a shard.
 	// Several processes may watch a shard; the store lets only one of them take it.
 	Watches func(shard int) bool
-	// Acts asks the process at addr whether it acts for a shard. answered is false if no reply
-	// arrives.
-	IsActing func(ctx context.Context, addr string, shard int) (acts, answered bool)
+	// IsActing asks the process at addr whether it acts for a shard. replied is false if no
+	// reply arrives.
+	IsActing func(ctx context.Context, addr string, shard int) (acts, replied bool)
 	// Clock is monotonic and includes the time in which the host is suspended.
 	Clock   func() time.Duration
 	Logger  logging.Logger
@@ -145,7 +145,7 @@
 // Run takes and renews shards until ctx ends. It waits until shards are needed.
 func (m *Manager) Run(ctx context.Context) {
 	for !m.cfg.Needed() {
-		if wait.For(ctx, wantedPollInterval) != nil {
+		if wait.For(ctx, neededPollInterval) != nil {
 			return
 		}
 	}
@@ -186,7 +186,7 @@
 func (m *Manager) renew(ctx context.Context) {
 	for wait.For(ctx, renewInterval) == nil {
 		if m.follower.Confirm(ctx, m.cfg.Lease/renewDivisor) != nil {
-			m.cfg.Metrics.Count("shards_not_confirmed") // an unconfirmed view expires, so this process stops acting
+			m.cfg.Metrics.Count("shards_not_confirmed") // the process stops acting at the end of the lease
 		}
 	}
 }
@@ -232,17 +232,17 @@
 // too long.
 func (m *Manager) orphaned(ctx context.Context, owners map[int]string) []int {
 	now := m.cfg.Clock()
-	notActing, anyAnswered := m.probeOwners(ctx, owners)
+	notActing, anyReplied := m.probeOwners(ctx, owners)
 	timeout := takeoverTimeout
-	if len(notActing) > 0 && !anyAnswered && !m.anyOtherAnswers(ctx, notActing) {
+	if len(notActing) > 0 && !anyReplied && !m.anyOtherReplies(ctx, notActing) {
 		timeout = isolatedTakeoverTimeout
 	}
 	return m.expiredOutages(notActing, now, timeout)
 }
 
 // probeOwners asks the owners of shards concurrently whether they act for them. It returns
-// the shards whose owners did not confirm it, and whether any process answered at all.
-func (m *Manager) probeOwners(ctx context.Context, owners map[int]string) (notActing map[int]string, anyAnswered bool) {
+// the shards whose owners did not confirm it, and whether any process replied at all.
+func (m *Manager) probeOwners(ctx context.Context, owners map[int]string) (notActing map[int]string, anyReplied bool) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	notActing = make(map[int]string)
@@ -253,22 +253,22 @@
 			continue
 		}
 		all.Go(func() {
-			acts, answered := m.cfg.IsActing(ctx, owner, n)
+			acts, replied := m.cfg.IsActing(ctx, owner, n)
 			mu.Lock()
 			defer mu.Unlock()
-			anyAnswered = anyAnswered || answered
+			anyReplied = anyReplied || replied
 			if !acts {
 				notActing[n] = owner
 			}
 		})
 	}
 	all.Wait()
-	return notActing, anyAnswered
+	return notActing, anyReplied
 }
 
-// anyOtherAnswers reports whether any process answers besides the owners that do not act. It
+// anyOtherReplies reports whether any process replies besides the owners that do not act. It
 // probes up to maxProbes processes.
-func (m *Manager) anyOtherAnswers(ctx context.Context, notActing map[int]string) bool {
+func (m *Manager) anyOtherReplies(ctx context.Context, notActing map[int]string) bool {
 	others := make(map[string]int) // one shard of each process, by address
 	m.viewTable(func(t *Table, _ int64) {
 		for n := range m.cfg.Shards {
@@ -282,10 +282,10 @@
 	}
 	tries := 0
 	for owner, n := range others { // map order, so the probed processes vary
-		one, cancel := context.WithTimeout(ctx, probeTimeout)
-		_, answered := m.cfg.IsActing(one, owner, n)
+		probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
+		_, replied := m.cfg.IsActing(probeCtx, owner, n)
 		cancel()
-		if answered {
+		if replied {
 			return true
 		}
 		if tries++; tries == maxProbes {
--- a/shards/manager_test.go
+++ b/shards/manager_test.go
@@ -72,7 +72,7 @@
 }
 
 // acts asks a process, on behalf of the host from, whether it acts for a shard.
-func (c *cluster) acts(ctx context.Context, from *host, addr string, shard int) (acts, answered bool) {
+func (c *cluster) acts(ctx context.Context, from *host, addr string, shard int) (acts, replied bool) {
 	c.mu.Lock()
 	var to *shards.Manager
 	for _, h := range c.hosts {
@@ -183,7 +183,7 @@
 			h.unreachable = true // from the other hosts only, not from the store
 			c.mu.Unlock()
 		case 8:
-			c.store.SetFault(h.name, sharedstore.NoResponse) // from the store only, not from the other hosts
+			c.store.SetFault(h.name, sharedstore.NoResponse) // from the store only
 		case 6:
 			c.store.DropHistory(store.Partition{Topic: "shards"})
 		}
--- a/shards/table.go
+++ b/shards/table.go
@@ -3,7 +3,7 @@
 //
 // The owner of a shard is a record in the shared store. A process acts only while its view
 // of the records is confirmed within a lease. A process that takes a shard over from one
-// that does not answer waits for a lease first: by then the former owner has either seen
+// that does not reply waits for a lease first: by then the former owner has either seen
 // the new record or stopped because it could not confirm its view. A restarted process
 // resumes its shards at once.
 package shards
