--- a/runner/member.go
+++ b/runner/member.go
@@ -15,16 +15,16 @@
 
 // Intervals and timeouts of group membership.
 const (
-	// memberTTL is how long a member that does not call keeps its partitions: three
-	// missed calls. The items of a crashed member wait that long, out of the 18 seconds
-	// in which they are due.
+	// memberTTL is how long an unresponsive member keeps its partitions: three missed
+	// heartbeats. The items of a crashed member wait that long, out of the 18 seconds in
+	// which they are due.
 	memberTTL    = 1600 * time.Millisecond
 	joinInterval = 500 * time.Millisecond
 	// handOverTimeout bounds stopping the runs of lost partitions and saving their
 	// progress.
 	handOverTimeout = time.Second
 	// loadProgressTimeout bounds loading the progress of the items of a new partition.
-	// Without an answer they restart from the first event.
+	// After it they restart from the first event.
 	loadProgressTimeout = 1500 * time.Millisecond
 	leaveTimeout        = 800 * time.Millisecond
 	// takeOverRetryInterval is the pause between attempts to load a new partition.
@@ -71,8 +71,8 @@
 	return r.leaving
 }
 
-// assign applies an assignment. Lost partitions are handed over before the next call to
-// the group, which releases them to another member. Their items are thus not run twice
+// assign applies an assignment. Lost partitions are handed over before the next heartbeat
+// to the group, which releases them to another member. Their items are thus not run twice
 // and resume from their progress.
 func (r *Runner) assign(ctx context.Context, m store.Membership) {
 	assigned := make(map[int]bool)
--- a/runner/quarantine_test.go
+++ b/runner/quarantine_test.go
@@ -29,10 +29,10 @@
 		}
 		time.Sleep(2 * itemDuration)
 		if n := len(e.runs(it.GetId())); n > 0 {
-			t.Errorf("the quarantined item ran %d times", n)
+			t.Errorf("the quarantined item ran %d times, want 0", n)
 		}
 		if res, err := a.jobs.Results(ctx, "job", 0, 0); err != nil || len(res.Items) != 1 {
-			t.Fatalf("%d results, %v", len(res.Items), err)
+			t.Fatalf("got %d results and error %v, want 1 result", len(res.Items), err)
 		}
 		a.quarantine.Clear(key)
 		time.Sleep(2 * itemDuration)
--- a/runner/run.go
+++ b/runner/run.go
@@ -52,11 +52,11 @@
 }
 
 // excludeFailed returns the targets at which an item may be retried. A target that fails
-// every item immediately always has free seats, so items that returned to the same few
-// targets were given up as failed too often. An item that has failed is therefore retried
-// only at other targets, and only at those that are not in doubt, so that the failures
-// counted against it are its own. If there is no such target, the item waits until one is
-// no longer in doubt.
+// every item immediately always has free seats, so without this rule a valid item uses up
+// its attempts at the same few targets and is given up. An item that has failed is
+// therefore retried only at other targets, and only at those that are not suspect, so that
+// the failures counted against it are its own. If there is no such target, the item waits
+// until one is no longer suspect.
 func excludeFailed(all []balance.BatchTarget, avoid []string) []balance.BatchTarget {
 	if len(avoid) == 0 {
 		return all
@@ -82,26 +82,26 @@
 // request to an agent that is down takes a quarter of a second to time out.
 const seatTimeout = 500 * time.Millisecond
 
-// acquireSeat asks the agents for a seat, the best candidate first. It reads the state of
-// the targets again before each request and once more after it: a target may begin to
-// leave in the meantime, and must then get no item. It returns nil if there is no seat.
+// acquireSeat requests a seat from the agents, the best candidate first. It reads the state
+// of the targets again before each request and once more after it: a target may start
+// draining in the meantime, and must then get no item. It returns nil if there is no seat.
 func (r *Runner) acquireSeat(ctx context.Context, service string, avoid []string, due time.Time) (*seats.Seat, targets.Instance) {
 	ctx, cancel := context.WithTimeout(ctx, seatTimeout)
 	defer cancel()
-	asked := make(map[string]bool)
+	tried := make(map[string]bool)
 	for ctx.Err() == nil {
-		in, ok := r.nextTarget(service, avoid, due, asked)
+		in, ok := r.nextTarget(service, avoid, due, tried)
 		if !ok {
 			break
 		}
-		asked[in.ID] = true
+		tried[in.ID] = true
 		seat, err := r.cfg.Seats.Acquire(ctx, in, due)
-		granted, fit := seat != nil && err == nil, false
+		granted, eligible := seat != nil && err == nil, false
 		r.cfg.View.WithTable(func(t *balance.Table) {
 			t.RecordSeatReply(in.ID, granted)
-			fit = t.Eligible(time.Now(), service, in.ID)
+			eligible = t.Eligible(time.Now(), service, in.ID)
 		})
-		if granted && fit {
+		if granted && eligible {
 			return seat, in
 		}
 		if granted {
@@ -112,20 +112,21 @@
 	return nil, targets.Instance{}
 }
 
-// nextTarget returns the best target for an item whose agent has not been asked yet. It
-// reports false if there is none.
-func (r *Runner) nextTarget(service string, avoid []string, due time.Time, asked map[string]bool) (targets.Instance, bool) {
+// nextTarget returns the best target for an item that has not been tried yet. It reports
+// false if there is none. If the item has failed at every target of the service, it excludes
+// none.
+func (r *Runner) nextTarget(service string, avoid []string, due time.Time, tried map[string]bool) (targets.Instance, bool) {
 	var ranked []balance.BatchTarget
-	only := false
+	failedAtAll := false
 	r.cfg.View.WithTable(func(t *balance.Table) {
 		ranked = seatCandidates(t, time.Now(), service, due)
-		only = t.CountInService(service) <= len(avoid)
+		failedAtAll = t.CountInService(service) <= len(avoid)
 	})
-	if !only {
+	if !failedAtAll {
 		ranked = excludeFailed(ranked, avoid)
 	}
 	for _, c := range ranked {
-		if !asked[c.Instance.ID] {
+		if !tried[c.Instance.ID] {
 			return c.Instance, true
 		}
 	}
@@ -161,7 +162,7 @@
 		logging.F("took_ms", time.Since(began).Milliseconds()), logging.F("failed", failed))
 }
 
-// errYield is the cancellation cause of a run whose seat the agent asked back.
+// errYield is the cancellation cause of a run whose seat the agent revoked.
 var errYield = errors.New("seat asked back")
 
 // stoppedLocally reports whether this process cancelled the run itself.
@@ -188,8 +189,8 @@
 	return ctx.Err() == nil && errors.Is(err, errNoOutcome)
 }
 
-// reportLostConnection tells the quarantine that a connection broke while the target had
-// an item.
+// reportLostConnection reports to the quarantine that a connection broke while the target
+// was processing an item.
 func (r *Runner) reportLostConnection(ctx context.Context, c candidate, st *itemState, in targets.Instance, from uint64, began time.Time) {
 	r.mu.Lock()
 	events := st.lastEvent - from
@@ -239,7 +240,8 @@
 	r.cfg.View.WithTable(func(t *balance.Table) { t.RecordOutcome(time.Now(), in.ID, v) })
 }
 
-// errNoOutcome marks errors of an attempt that ended before the item was complete.
+// errNoOutcome marks errors of an attempt that ended before the item was complete. The item
+// is retried after such an error.
 var errNoOutcome = errors.New("attempt ended without an outcome")
 
 // attempt runs an item from its last complete event on. It returns the outcome if the item
@@ -256,7 +258,7 @@
 	r.mu.Lock()
 	after := st.lastEvent
 	r.mu.Unlock()
-	ans, err := r.cfg.Sender.Send(ctx, in, &exchange.Call{
+	resp, err := r.cfg.Sender.Send(ctx, in, &exchange.Call{
 		ID: item.GetId(), Method: http.MethodPost, Host: c.open.Spec.GetHost(), URI: item.GetPath(),
 		Header: r.cfg.Headers(item.GetHeaders()), Body: item.GetBody(), ResumeAfter: after, Workspace: c.open.Spec.GetWorkspace(),
 	})
@@ -264,11 +266,11 @@
 		r.recordSendError(ctx, in, err)
 		return nil, errors.Mark(err, errNoOutcome)
 	}
-	defer func() { _ = ans.Body.Close() }() // nothing more is read from it
-	if err := r.checkAnswer(c, st, in, ans); err != nil {
+	defer func() { _ = resp.Body.Close() }() // nothing more is read from it
+	if err := r.checkResponse(c, st, in, resp); err != nil {
 		return nil, err
 	}
-	return r.readStream(c, st, ans, after, watchdog)
+	return r.readStream(c, st, resp, after, watchdog)
 }
 
 // recordSendError records the health of a target after a failed send, unless the run was
@@ -285,29 +287,29 @@
 	r.recordHealth(in, balance.Failed)
 }
 
-// statusError reports that a target answered with something other than a result stream.
+// statusError reports that a target responded with something other than a result stream.
 type statusError struct {
 	status int
 }
 
 // Error implements error.
 func (e *statusError) Error() string {
-	return "target answered with status " + http.StatusText(e.status)
+	return "target responded with status " + http.StatusText(e.status)
 }
 
-// checkAnswer returns nil if an answer is a result stream. For any other answer it records
-// the failure and returns a statusError.
-func (r *Runner) checkAnswer(c candidate, st *itemState, in targets.Instance, ans *exchange.Response) error {
-	if ans.Outcome == exchange.Done && ans.Status < http.StatusMultipleChoices {
-		if !ans.EventStream {
+// checkResponse returns nil if a response is a result stream. For any other response it
+// records the failure and returns a statusError.
+func (r *Runner) checkResponse(c candidate, st *itemState, in targets.Instance, resp *exchange.Response) error {
+	if resp.Outcome == exchange.Done && resp.Status < http.StatusMultipleChoices {
+		if !resp.EventStream {
 			r.recordHealth(in, balance.Failed)
-			return &statusError{ans.Status}
+			return &statusError{resp.Status}
 		}
 		return nil
 	}
-	failed := ans.Outcome == exchange.Failed && ans.Status == http.StatusInternalServerError
-	impossible := ans.Outcome == exchange.Done && ans.Status == statusImpossible
-	if ans.Outcome == exchange.OtherInstance {
+	failed := resp.Outcome == exchange.Failed && resp.Status == http.StatusInternalServerError
+	impossible := resp.Outcome == exchange.Done && resp.Status == statusImpossible
+	if resp.Outcome == exchange.OtherInstance {
 		r.cfg.View.MarkSuperseded(in.ID)
 	}
 	if failed || impossible {
@@ -321,12 +323,12 @@
 		count, isImpossible := st.failures, st.impossible
 		r.mu.Unlock()
 		if failed && firstFailure {
-			// If the item failed before, the item may be at fault, not the target.
+			// If the item has failed before, it may be at fault itself, not the target.
 			r.recordHealth(in, balance.Failed)
 		}
 		go r.saveFailures(c, count, isImpossible)
 	}
-	return &statusError{ans.Status}
+	return &statusError{resp.Status}
 }
 
 // saveFailures saves the number of failed attempts on the store, so that another process
@@ -342,8 +344,8 @@
 
 // readStream reads the events that follow the event after, up to the end of the stream. A
 // stream that ends without an event completes the item only if earlier events are known.
-func (r *Runner) readStream(c candidate, st *itemState, ans *exchange.Response, after uint64, watchdog *time.Timer) (*jobs.Outcome, error) {
-	rd := events.NewReader(ans.Body, after)
+func (r *Runner) readStream(c candidate, st *itemState, resp *exchange.Response, after uint64, watchdog *time.Timer) (*jobs.Outcome, error) {
+	rd := events.NewReader(resp.Body, after)
 	for n := 0; ; n++ {
 		ev, err := rd.Next()
 		if errors.Is(err, io.EOF) && n+int(after) > 0 {
--- a/runner/runner.go
+++ b/runner/runner.go
@@ -45,7 +45,7 @@
 	View   *fleet.View
 	Sender exchange.Sender
 	Seats  Seats
-	// Quarantine is told of runs whose connection broke.
+	// Quarantine records runs whose connection broke.
 	Quarantine *quarantine.Tracker
 	Log        logging.Logger
 	Metrics    *metrics.Set
@@ -63,15 +63,15 @@
 	// hundreds of times a second, and each scan goes through all open items.
 	minDispatchGap = 20 * time.Millisecond
 	// maxStateAge is how old the state of a job may be when an item is started. Items
-	// of a job must not start later than three seconds after the client has been told
-	// that the job ended.
+	// of a job must not start later than three seconds after its end has been confirmed
+	// to the client.
 	maxStateAge = 1500 * time.Millisecond
 	// minBackoff and maxBackoff bound the delay before an item is retried after a
 	// failed run.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = time.Second
 	// maxOutage is how long items are started from the last known state while the
-	// store does not answer. A host that alone loses its connection to the store does
+	// store is unresponsive. A host that alone loses its connection to the store does
 	// not learn of ended jobs.
 	maxOutage = 30 * time.Second
 	// maxUnlistedBytes bounds the results that wait to be listed: a fifth of the memory
@@ -80,11 +80,10 @@
 	// routelessTimeout is how long an item may be without a route before it is given
 	// up. It is longer than a burst of configuration changes lasts.
 	routelessTimeout = 6 * time.Second
-	// refreshRetryInterval is the pause between refreshes of a partition that does not
-	// answer.
+	// refreshRetryInterval is the pause between refreshes of an unresponsive partition.
 	refreshRetryInterval = time.Second
 	// avoidFailedFor is how long after a failure an item avoids the targets at which it
-	// failed: twice as long as one failure keeps a target in doubt. After that, any
+	// failed: twice as long as one failure keeps a target suspect. After that, any
 	// target is better than none.
 	avoidFailedFor = 4 * time.Second
 	// clockSkewMargin is added to an item's deadline so that no host gives it up early.
@@ -110,7 +109,7 @@
 	wakeLister    chan struct{}
 }
 
-// itemState is what this process knows of an open item in addition to the store: its
+// itemState is the local state of an open item, beyond what the store holds: its
 // progress and when it may be retried. Runner.mu guards all fields but key and
 // contentKey, which do not change once set.
 type itemState struct {
@@ -123,7 +122,7 @@
 	cancel     context.CancelCauseFunc
 	savedEvent uint64 // last event whose progress is saved on the store
 	progress
-	failures      int       // attempts that targets answered with a failure
+	failures      int       // attempts for which targets responded with a failure
 	failedTargets []string  // instances that did so in this process
 	lastFailure   time.Time // time of the latest of these failures
 	impossible    bool
@@ -181,7 +180,8 @@
 	schedule.Item
 }
 
-// dispatchLoop starts open items in the order of package schedule.
+// dispatchLoop starts open items in the order that package schedule defines: those that
+// can still finish in time first, the earliest due first.
 func (r *Runner) dispatchLoop(ctx context.Context) {
 	tick := time.NewTicker(dispatchInterval)
 	defer tick.Stop()
@@ -261,7 +261,7 @@
 }
 
 // ready reports whether an item is neither running, done nor backing off. It merges the
-// failures that the store knows into the item's state.
+// failures recorded on the store into the item's state.
 func (r *Runner) ready(now time.Time, part int, it jobstore.OpenItem) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -337,7 +337,7 @@
 		full[service] = full[service] || len(r.targetsToAvoid(st)) == 0
 		return
 	}
-	run, cancel := context.WithCancelCause(ctx)
+	runCtx, cancel := context.WithCancelCause(ctx)
 	r.mu.Lock()
 	allowed := !r.leaving && r.assigned[c.part]
 	if allowed {
@@ -353,7 +353,7 @@
 	go func() {
 		defer cancel(nil)
 		defer seat.Close()
-		r.run(run, cancel, c, st, in, seat)
+		r.run(runCtx, cancel, c, st, in, seat)
 	}()
 }
 
@@ -369,12 +369,12 @@
 }
 
 // jobStateUsable reports whether the known state of an item's job is recent enough to
-// start the item. While the store does not answer, items of accepted jobs still start:
+// start the item. While the store is unresponsive, items of accepted jobs still start:
 // no client can end a job meanwhile, and waiting left half of the slots idle during an
 // outage. Results are held until they can be listed, up to maxUnlistedBytes.
 func (r *Runner) jobStateUsable(ctx context.Context, c candidate) bool {
 	if c.open.HandOff != nil && r.refresh(ctx, c.open.Home) {
-		// The job's home partition answers and may already have the job, so its hint is
+		// The job's home partition responds and may already have the job, so its hint is
 		// not run. The hint is handed off or dropped shortly.
 		return false
 	}
@@ -394,9 +394,8 @@
 }
 
 // refresh brings a partition's state up to date and reports whether it is recent enough
-// to start items. A partition that did not answer is not asked again for each item: each
-// request to a silent partition takes a second, and the items of all other partitions
-// wait behind it.
+// to start items. It does not retry an unresponsive partition for each item: each request
+// to it takes a second, and the items of all other partitions wait behind that request.
 func (r *Runner) refresh(ctx context.Context, part int) bool {
 	r.mu.Lock()
 	backingOff := time.Since(r.refreshFailed[part]) < refreshRetryInterval
@@ -456,11 +455,11 @@
 // routeless reports whether an item has had no route for routelessTimeout. A route may
 // be missing briefly during successive configuration changes.
 func (r *Runner) routeless(now time.Time, c candidate, st *itemState) bool {
-	known, route := r.cfg.View.Catalog() != nil, r.route(c)
+	hasCatalog, route := r.cfg.View.Catalog() != nil, r.route(c)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case !known || route != nil:
+	case !hasCatalog || route != nil:
 		st.noRouteSince = time.Time{}
 	case st.noRouteSince.IsZero():
 		st.noRouteSince = now
--- a/runner/runner_test.go
+++ b/runner/runner_test.go
@@ -138,7 +138,7 @@
 	return seats.NewLocalSeat(ch), nil
 }
 
-// setRefusing sets whether requests are refused, and asks back all granted seats.
+// setRefusing sets whether requests are refused, and revokes all granted seats.
 func (p *seatPool) setRefusing(refuse bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -280,7 +280,7 @@
 		time.Sleep(2 * itemDuration)
 		checkFinished(ctx, t, a, "job", 1)
 		if runs := e.runs("job-0"); len(runs) != 2 || runs[1] == 0 {
-			t.Fatalf("runs began after events %v", runs)
+			t.Fatalf("runs began after events %v, want two runs, the second not from the start", runs)
 		}
 	})
 }
@@ -300,7 +300,7 @@
 		checkFinished(ctx, t, b, "job", 2)
 		for i := range 2 {
 			if runs := e.runs(fmt.Sprint("job-", i)); len(runs) != 2 || runs[1] == 0 {
-				t.Errorf("item %d: runs began after events %v", i, runs)
+				t.Errorf("item %d: runs began after events %v, want two runs, the second not from the start", i, runs)
 			}
 		}
 	})
@@ -374,7 +374,7 @@
 		time.Sleep(3 * time.Second)
 		for i := range 3 {
 			if runs := e.runs(fmt.Sprint("job-", i)); len(runs) != 0 {
-				t.Errorf("item %d ran %d times after the end", i, len(runs))
+				t.Errorf("item %d ran %d times after its job ended, want 0", i, len(runs))
 			}
 		}
 	})
@@ -402,7 +402,7 @@
 		time.Sleep(itemDuration)
 		for i := range 3 {
 			if runs := e.runs(fmt.Sprint("job-", i)); len(runs) != 0 {
-				t.Errorf("item %d ran %d times after the end", i, len(runs))
+				t.Errorf("item %d ran %d times after its job ended, want 0", i, len(runs))
 			}
 		}
 	})
@@ -427,7 +427,7 @@
 		time.Sleep(8 * time.Second)
 		res, err := a.jobs.Results(ctx, "job", 0, 0)
 		if err != nil || len(res.Items) != 3 {
-			t.Fatalf("%d results, %v", len(res.Items), err)
+			t.Fatalf("got %d results and error %v, want 3 results", len(res.Items), err)
 		}
 		for _, it := range res.Items {
 			if dead := it.ID != "job-2"; it.Dead != dead {
@@ -491,11 +491,11 @@
 type cuttingEngine struct{ *engine }
 
 func (c *cuttingEngine) Send(ctx context.Context, to targets.Instance, call *exchange.Call) (*exchange.Response, error) {
-	ans, err := c.engine.Send(ctx, to, call)
+	resp, err := c.engine.Send(ctx, to, call)
 	if err == nil && call.ResumeAfter+5 < events {
-		ans.Body = cutBody{io.MultiReader(io.LimitReader(ans.Body, 150), failingReader{}), ans.Body}
+		resp.Body = cutBody{io.MultiReader(io.LimitReader(resp.Body, 150), failingReader{}), resp.Body}
 	}
-	return ans, err
+	return resp, err
 }
 
 type cutBody struct {
@@ -507,7 +507,7 @@
 
 func (failingReader) Read([]byte) (int, error) { return 0, errTest }
 
-// failingTarget is a sender with one target that answers every item with a failure.
+// failingTarget is a sender with one target that responds to every item with a failure.
 type failingTarget struct {
 	*engine
 	instance string
@@ -521,8 +521,8 @@
 }
 
 // Guards against valid items that are given up as failed too often: one of four targets
-// fails every item immediately, so it always has free seats and is asked first for every
-// attempt. A failed item must be retried at another target.
+// fails every item immediately, so it always has free seats and is the first choice for
+// every attempt. A failed item must be retried at another target.
 func TestFailedItemRetriesOnOtherTarget(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store, e *engine) {
 		a := startNode(ctx, s, &failingTarget{e, "i0"}, "a")
@@ -535,7 +535,7 @@
 		time.Sleep(20 * time.Second)
 		res, err := a.jobs.Results(ctx, "job", 0, 0)
 		if err != nil || len(res.Items) != items {
-			t.Fatalf("%d results, %v", len(res.Items), err)
+			t.Fatalf("got %d results and error %v, want one result per item", len(res.Items), err)
 		}
 		for _, it := range res.Items {
 			if it.Dead {
@@ -545,22 +545,22 @@
 	})
 }
 
-// Guards against batch work that almost stops while one partition of the store does not
-// answer. A process runs two partitions and starts the items of the silent one from the
-// last known state. If it asks that partition again for each item, every request takes a
-// second and the items of the other partition wait.
-func TestSilentPartitionDoesNotBlockOthers(t *testing.T) {
+// Guards against batch work that almost stops while one partition of the store is
+// unresponsive. A process runs two partitions and starts the items of the unresponsive one
+// from the last known state. If it retries that partition for each item, every request takes
+// a second and the items of the other partition wait.
+func TestUnresponsivePartitionDoesNotBlockOthers(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store, e *engine) {
 		a := startNode(ctx, s, e, "a")
 		time.Sleep(3 * time.Second)
-		silent, other := "job", "job"
-		for n := 0; a.jobs.PartitionOf(other) == a.jobs.PartitionOf(silent); n++ {
+		unresponsive, other := "job", "job"
+		for n := 0; a.jobs.PartitionOf(other) == a.jobs.PartitionOf(unresponsive); n++ {
 			other = fmt.Sprint("job", n)
 		}
 		const items = 20
 		a.seats.setRefusing(true) // no item starts yet
-		acceptJob(ctx, t, a, silent, items)
-		s.SetPartitionFault(store.Partition{Topic: "jobs", Number: a.jobs.PartitionOf(silent)}, sharedstore.NoResponse)
+		acceptJob(ctx, t, a, unresponsive, items)
+		s.SetPartitionFault(store.Partition{Topic: "jobs", Number: a.jobs.PartitionOf(unresponsive)}, sharedstore.NoResponse)
 		time.Sleep(2 * time.Second)
 		a.seats.setRefusing(false)
 		acceptJob(ctx, t, a, other, items)
@@ -570,10 +570,10 @@
 }
 
 // Guards against items that run twice or have more attempts than their route allows. A job's
-// home partition answers late, so a hint is written to another partition as well, and the
+// home partition responds late, so a hint is written to another partition as well, and the
 // runner of that partition sees the hint before the job. Items must not run from a hint
-// while the home partition answers.
-func TestHintIsNotRunWhenHomePartitionAnswers(t *testing.T) {
+// while the home partition responds.
+func TestHintIsNotRunWhenHomePartitionResponds(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store, e *engine) {
 		a := startNode(ctx, s, e, "a")
 		startNode(ctx, s, e, "c") // each has every second partition
@@ -595,7 +595,7 @@
 		checkFinished(ctx, t, a, "job", 4)
 		for _, it := range job.GetItems() {
 			if n := len(e.runs(it.GetId())); n != 1 {
-				t.Errorf("%s ran %d times", it.GetId(), n)
+				t.Errorf("item %s ran %d times, want 1", it.GetId(), n)
 			}
 		}
 	})
--- a/runner/seat_test.go
+++ b/runner/seat_test.go
@@ -12,7 +12,7 @@
 	"pumiceford/targets"
 )
 
-// hookedSeats calls beforeGrant each time it is asked for a seat, before it grants one.
+// hookedSeats calls beforeGrant for each request for a seat, before it grants one.
 type hookedSeats struct {
 	seatPool
 	beforeGrant func(in targets.Instance)
@@ -25,10 +25,11 @@
 }
 
 // Guards against an item that reaches a target four seconds after the runner learnt that the
-// target leaves. The agents are asked for a seat in a fixed order and some do not answer; in
-// the meantime a target begins to leave, and its agent still grants the seat. The state of
-// the targets must be checked again before the item is sent.
-func TestLeavingTargetGetsNoItem(t *testing.T) {
+// target is draining. The runner requests a seat from the agents in an order that it computed
+// before, and some agents are unresponsive; in the meantime a target starts draining, and its
+// agent still grants the seat. The state of the targets must be checked again before the item
+// is sent.
+func TestDrainingTargetGetsNoItem(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store, e *engine) {
 		n := startNode(ctx, s, e, "a")
 		first := ""
@@ -46,7 +47,7 @@
 		time.Sleep(2 * itemDuration)
 		checkFinished(ctx, t, n, "job", 1)
 		if to := e.sentTo("job-0"); len(to) != 1 || to[0] == first {
-			t.Errorf("item sent to %v; %s was leaving", to, first)
+			t.Errorf("item sent to %v, want one target other than the draining %s", to, first)
 		}
 	})
 }
--- a/runner/upkeep.go
+++ b/runner/upkeep.go
@@ -16,7 +16,7 @@
 	// listDelay is the wait before results are listed, so that results that finish
 	// together share one append. It is short compared to the five seconds of a run.
 	listDelay = 40 * time.Millisecond
-	// storeTimeout bounds one request of these loops to the store.
+	// storeTimeout bounds one request to the store.
 	storeTimeout = 3 * time.Second
 	// listRetryPause is the pause after a failed attempt to list results.
 	listRetryPause = 100 * time.Millisecond
@@ -24,8 +24,8 @@
 	// up to that much of an item's five seconds. 25 running items cost 12 records per
 	// second for the whole fleet.
 	saveInterval = 1500 * time.Millisecond
-	// handOffInterval is how often hints are handed off to their home partitions. It
-	// delays the results of these jobs.
+	// handOffInterval is how often hints are handed off to their home partitions. The
+	// results of these jobs become readable up to that much later.
 	handOffInterval = 250 * time.Millisecond
 	// sweepInterval is how often expired jobs are dropped.
 	sweepInterval = 30 * time.Second
