--- a/jobs/decide.go
+++ b/jobs/decide.go
@@ -92,7 +92,7 @@
 }
 
 // Fail returns the records that store the number of failed attempts of an item and whether
-// the item is impossible. It returns none if the table already knows as much.
+// the item is impossible. It returns none if the table already holds at least as much.
 func (t *Table) Fail(id string, item, failed int, impossible bool) ([]store.Record, error) {
 	j := t.Get(id)
 	if j == nil || j.Done(item) {
@@ -119,8 +119,9 @@
 	return out
 }
 
-// SameWork reports whether two specs ask for the same work. It ignores when they were accepted
-// and where they run, because a client that got no answer sends its job again later.
+// SameWork reports whether two specs describe the same work. It ignores when they were
+// accepted and where they run, because a client that got no response sends its job again
+// later.
 func SameWork(a, b *wire.JobSpec) bool {
 	if a.GetHost() != b.GetHost() || a.GetPath() != b.GetPath() || len(a.GetItems()) != len(b.GetItems()) {
 		return false
--- a/jobs/jobs_test.go
+++ b/jobs/jobs_test.go
@@ -53,9 +53,9 @@
 	return out
 }
 
-// Guards against nodes that report different results for one job, or a node that reports
-// others after a restart. Records are folded twice after the log has been trimmed, or in
-// key order instead of log order, so the fold must not depend on either.
+// Guards against nodes that report different results for one job, or a node whose results
+// change with a restart. Records are folded twice after the log has been trimmed, or in key
+// order instead of log order, so the fold must not depend on either.
 func TestFoldIgnoresOrderAndDuplicates(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		log := newTable(t)
@@ -111,7 +111,7 @@
 	applyAll(tab, must(t)(tab.List([]jobs.Outcome{{Job: "job", Item: 1, Dead: true}, {Job: "job", Item: 0, Text: []byte("c")}})))
 	j := tab.Get("job")
 	if j.Listed() != 2 || string(j.Result(0).Text) != "a" || string(j.Result(1).Text) != "c" || !j.Complete() {
-		t.Fatalf("%d results listed: %v", j.Listed(), visibleState(tab, "job"))
+		t.Fatalf("%d results listed, want 2 (a, c): %v", j.Listed(), visibleState(tab, "job"))
 	}
 }
 
@@ -181,7 +181,7 @@
 	applyAll(tab, must(t)(tab.Fail("job", 0, 2, false)))
 	applyAll(tab, must(t)(tab.Fail("job", 0, 1, true)))
 	if failed, impossible := tab.Get("job").Failures(0); failed != 2 || !impossible {
-		t.Fatalf("failed %d, impossible %v", failed, impossible)
+		t.Fatalf("got %d failed attempts, impossible %v; want 2, true", failed, impossible)
 	}
 }
 
