--- a/jobstore/accept.go
+++ b/jobstore/accept.go
@@ -17,12 +17,12 @@
 const (
 	// alternateCount is how many other partitions may accept a job while its home is
 	// unavailable. With a third of all partitions unavailable, almost every job still finds
-	// one that answers.
+	// one that responds.
 	alternateCount = 3
 	// minHedgeDelay and maxHedgeDelay bound the wait for one partition before the next
 	// candidate is tried as well. An append takes many times longer on a small host, and a
-	// fixed delay made such hosts store jobs twice. Callers expect an answer within half a
-	// second.
+	// fixed delay made such hosts store jobs twice. Callers expect a response within half
+	// a second.
 	minHedgeDelay = 100 * time.Millisecond
 	maxHedgeDelay = 250 * time.Millisecond
 	// hedgeLatencyFactor is the hedge delay as a multiple of the mean latency of an attempt.
@@ -32,9 +32,9 @@
 	// acceptTimeout bounds the acceptance of a job. It allows for an append to a slow store
 	// and one conflict over the partition's end.
 	acceptTimeout = 900 * time.Millisecond
-	// silentLatencyFactor is the multiple of a successful attempt's latency after which a
-	// concurrent attempt without an answer counts as failed.
-	silentLatencyFactor = 4
+	// unresponsiveLatencyFactor is the multiple of a successful attempt's latency after which a
+	// concurrent attempt without a response counts as failed.
+	unresponsiveLatencyFactor = 4
 	// unavailableBackoff is how long a partition is not tried after a failed attempt, and
 	// how long the whole store is not tried after outageThreshold failures in a row, unless
 	// a probe succeeds sooner.
@@ -43,8 +43,8 @@
 	probeTimeout       = 300 * time.Millisecond
 )
 
-// UnavailableError is returned while the job store is unavailable. It is marked as ErrStoreUnavailable
-// when nothing was written, and as ErrOutcomeUnknown otherwise.
+// UnavailableError is returned while the job store is unavailable. It is marked as
+// ErrStoreUnavailable when nothing was written, and as ErrOutcomeUnknown otherwise.
 type UnavailableError struct {
 	// RetryAfter is how long the caller should wait before a retry.
 	RetryAfter time.Duration
@@ -56,8 +56,8 @@
 }
 
 // Accept stores a job. When it returns nil, the job is durable, by this call or an
-// earlier one. While the job's home partition is unavailable, an
-// alternate keeps the job as a hint until it can be handed off.
+// earlier one. While the job's home partition is unavailable, an alternate keeps the job
+// as a hint until it can be handed off.
 func (s *Store) Accept(ctx context.Context, spec *wire.JobSpec) error {
 	began := time.Now()
 	number, known, err := s.accept(ctx, spec)
@@ -95,7 +95,7 @@
 }
 
 // acceptHedged tries the candidates in order until one accepts the job. It starts the
-// next attempt when one fails or the hedge delay has passed without an answer. Surplus
+// next attempt when one fails or the hedge delay has passed without a response. Surplus
 // copies are dropped like any other hint of the job.
 func (s *Store) acceptHedged(ctx context.Context, spec *wire.JobSpec, candidates []int) (int, error) {
 	home := s.PartitionOf(spec.GetId())
@@ -144,14 +144,15 @@
 	return home, errors.Mark(s.unavailableError(), ErrStoreUnavailable)
 }
 
-// isFinal reports whether an attempt's result is the answer to the caller, because no
-// other partition would give a better one.
+// isFinal reports whether an attempt's result is returned to the caller, because no other
+// partition would give a better one.
 func isFinal(err error) bool {
 	return err == nil || errors.Is(err, ErrJobConflict) || errors.Is(err, store.ErrFull)
 }
 
 // Unavailable returns the error for a call that is refused without an attempt because the
-// store is known to be unavailable. It is an UnavailableError marked as ErrStoreUnavailable.
+// store is known to be unavailable. It is an UnavailableError marked as
+// ErrStoreUnavailable.
 func (s *Store) Unavailable() error {
 	now := time.Now()
 	s.refusedCalls.expire(now, unavailableBackoff)
@@ -170,15 +171,16 @@
 	s.storeHealth.record(now, ok)
 }
 
-// recordSuccess records a successful attempt. An earlier attempt that still has no answer
-// after silentLatencyFactor times the winner's latency counts as failed. The comparison is
-// relative, so that a store that is slow in all partitions marks none as unavailable.
+// recordSuccess records a successful attempt. An earlier attempt that still has no
+// response after unresponsiveLatencyFactor times the winner's latency counts as failed. The
+// comparison is relative, so that a store that is slow in all partitions marks none as
+// unavailable.
 func (s *Store) recordSuccess(attempts []*attempt, winner *attempt) {
 	s.recordAttempt(winner, true)
 	took := time.Since(winner.began)
 	s.acceptLatency.observe(took)
 	for _, a := range attempts {
-		if !a.ended && a != winner && time.Since(a.began) > silentLatencyFactor*took {
+		if !a.ended && a != winner && time.Since(a.began) > unresponsiveLatencyFactor*took {
 			s.healthOf(a.partition).record(time.Now(), false)
 		}
 	}
@@ -188,16 +190,16 @@
 // store refused if there are other partitions: trying one of them is a better use of the
 // caller's time. It returns ErrJobConflict if a different job has the id.
 func (s *Store) acceptHome(ctx context.Context, p *partition, spec *wire.JobSpec) error {
-	other := false
+	conflict := false
 	refused := func(err error) bool { return s.settings.Partitions > 1 && errors.Is(err, store.ErrRefused) }
 	err := s.updateUntil(ctx, p, refused, func(t *jobs.Table) ([]store.Record, error) {
 		if j := t.Get(spec.GetId()); j != nil {
-			other = !jobs.SameWork(j.Spec, spec)
+			conflict = !jobs.SameWork(j.Spec, spec)
 			return nil, nil
 		}
 		return t.Accept(spec)
 	})
-	if err == nil && other {
+	if err == nil && conflict {
 		return ErrJobConflict
 	}
 	return err
--- a/jobstore/handoff.go
+++ b/jobstore/handoff.go
@@ -145,14 +145,14 @@
 }
 
 // homeLookupTimeout bounds the read of a job's home before its alternates are read.
-// Without it a home that does not answer would use up the caller's deadline, and a hint
-// at an alternate would not be found.
+// Without it an unresponsive home would use up the caller's deadline, and a hint at an
+// alternate would not be found.
 const homeLookupTimeout = 300 * time.Millisecond
 
 // foundAtHome reports whether a read of the job's home p finds the job within
 // homeLookupTimeout. It comes before any read of the alternates: nearly all jobs are at
 // their home, and reading the alternates first made a process follow three more
-// partitions for each one that its callers ask for.
+// partitions for each one that its callers use.
 func (p *partition) foundAtHome(ctx context.Context, id string) bool {
 	ctx, cancel := context.WithTimeout(ctx, homeLookupTimeout)
 	defer cancel()
--- a/jobstore/health.go
+++ b/jobstore/health.go
@@ -42,12 +42,12 @@
 }
 
 // unavailable reports whether at least threshold attempts in a row have failed, the last
-// one less than backoff ago, with no answer since. After backoff it reports false, so that
-// a caller tries again.
-func (h *health) unavailable(now time.Time, threshold int, backoff time.Duration, lastAnswer time.Time) bool {
+// one less than backoff ago, with no response since. After backoff it reports false, so
+// that a caller tries again.
+func (h *health) unavailable(now time.Time, threshold int, backoff time.Duration, lastResponse time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.failures >= threshold && now.Sub(h.lastFailure) < backoff && lastAnswer.Before(h.lastFailure)
+	return h.failures >= threshold && now.Sub(h.lastFailure) < backoff && lastResponse.Before(h.lastFailure)
 }
 
 // retryAfter returns how long a caller should wait before a retry. The wait grows with
--- a/jobstore/homes_test.go
+++ b/jobstore/homes_test.go
@@ -40,7 +40,7 @@
 var outageFaults = []sharedstore.Fault{sharedstore.Refuse, sharedstore.NoResponse, sharedstore.LoseResponse, sharedstore.ApplyLate}
 
 // Guards against a third of all jobs being refused while a third of the store's partitions
-// is unavailable. The home of a job does not answer; another partition must accept the job.
+// is unavailable. The home of a job is unresponsive; another partition must accept the job.
 func TestJobIsAcceptedWhileItsPartitionIsUnavailable(t *testing.T) {
 	for _, fault := range outageFaults {
 		inBubble(t, func(ctx context.Context, t *testing.T) {
@@ -74,8 +74,9 @@
 }
 
 // Guards against a job that was accepted during an outage and is unknown afterwards, or whose
-// items are run by two processes permanently. The home answers again, and a read comes before
-// the hand-off. Reads must find the hint, and only the hint's partition may run the items.
+// items are run by two processes permanently. The home responds again, and a read comes
+// before the hand-off. Reads must find the hint, and only the hint's partition may run the
+// items.
 func TestHintIsHandedOffAndRunFromOnePartition(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(partitionCount)
@@ -124,7 +125,8 @@
 }
 
 // Guards against a lost result of an item that finished during an outage. After the outage
-// the result reaches the home before the job itself, and must bring the job along.
+// the result reaches the home before the job itself. The append of the result must then also
+// store the job.
 func TestResultCarriesItsJob(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(partitionCount)
@@ -149,8 +151,8 @@
 	})
 }
 
-// Guards against each job waiting a second before it is refused although the store has not
-// answered for some time. One job detects the outage; later jobs must be refused at once.
+// Guards against each job waiting a second before it is refused although the store has been
+// unresponsive for some time. One job detects the outage; later jobs must be refused at once.
 func TestKnownOutageRefusesImmediately(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(partitionCount)
@@ -165,7 +167,7 @@
 			waited += time.Since(began)
 			var unavailable *jobstore.UnavailableError
 			if !errors.As(err, &unavailable) || unavailable.RetryAfter < 200*time.Millisecond {
-				t.Fatalf("job %d: got %v, want a retry delay of at least 200ms", n, err)
+				t.Fatalf("job %d: got %v, want a retry-after of at least 200ms", n, err)
 			}
 			delays = append(delays, unavailable.RetryAfter)
 			time.Sleep(50 * time.Millisecond)
@@ -174,7 +176,7 @@
 			t.Errorf("100 jobs waited for %s in total, want at most 3s", waited)
 		}
 		if slices.Max(delays) < 2*slices.Min(delays) {
-			t.Errorf("retry delays are not spread: %s to %s", slices.Min(delays), slices.Max(delays))
+			t.Errorf("retry-after times are not spread: %s to %s", slices.Min(delays), slices.Max(delays))
 		}
 		s.SetFault("a", sharedstore.NoFault)
 		time.Sleep(1500 * time.Millisecond)
@@ -222,7 +224,7 @@
 	checkMoves(t, drawHintMove, 5, 70, playHintMoves)
 }
 
-// hintSim simulates three processes on one store and checks their answers with an oracle.
+// hintSim simulates three processes on one store and checks their responses with an oracle.
 type hintSim struct {
 	store  *sharedstore.Store
 	nodes  []*jobstore.Store
@@ -342,8 +344,8 @@
 	return ""
 }
 
-// Checks that a job is refused as not written, with a retry delay, while all partitions are
-// down.
+// Checks that a job is refused as not written, with a retry-after, while all partitions are
+// down. Only the home and its three alternates, the same at every process, may accept a job.
 func TestAcceptFailsWhenAllCandidatesAreDown(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(partitionCount)
@@ -353,14 +355,14 @@
 		a := openMany(ctx, s.ClientFor("a"))
 		var unavailable *jobstore.UnavailableError
 		if err := a.Accept(ctx, &wire.JobSpec{Id: "x"}); !errors.As(err, &unavailable) || !errors.Is(err, jobstore.ErrStoreUnavailable) {
-			t.Fatalf("got %v, want a refusal that nothing was written, with a retry delay", err)
+			t.Fatalf("got %v, want a refusal that nothing was written, with a retry-after", err)
 		}
 	})
 }
 
-// Guards against a process that follows four times as many partitions as its callers ask
-// for, which matters with thousands of partitions: accepting a job must not follow the
-// job's alternates.
+// Guards against a process that follows four times as many partitions as its callers use,
+// which matters with thousands of partitions: accepting a job must not follow the job's
+// alternates.
 func TestAcceptFollowsOnlyTheHome(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(partitionCount)
@@ -400,7 +402,7 @@
 }
 
 // Guards against a process that, after hours, follows every partition that a caller ever
-// asked it for: a partition must be unfollowed once it is idle.
+// used: a partition must be unfollowed once it is idle.
 func TestIdlePartitionIsUnfollowed(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(partitionCount)
@@ -423,10 +425,10 @@
 }
 
 // Guards against a body that cannot be read during a partial outage at processes that did not
-// accept the job. The home does not answer and an alternate keeps the job; a caller asks for
-// the body, with a deadline of one second, at a process that follows neither. The read of the
-// home must not use up the whole deadline.
-func TestSilentHomeDoesNotHideHint(t *testing.T) {
+// accept the job. The home is unresponsive and an alternate keeps the job; a caller requests
+// the body, with a deadline of one second, from a process that follows neither. The read of
+// the home must not use up the whole deadline.
+func TestUnresponsiveHomeDoesNotHideHint(t *testing.T) {
 	const count = 6 // enough jobs that their hints are in several alternates
 	for n := range count {
 		inBubble(t, func(ctx context.Context, t *testing.T) {
--- a/jobstore/jobstore.go
+++ b/jobstore/jobstore.go
@@ -1,8 +1,8 @@
 // Package jobstore keeps batch jobs on the shared store. Any process may write
 // to any partition: each write is computed from the partition's folded state and
 // appended only if the partition's end has not moved since. Partitions have no owner,
-// so no write waits for an election or needs a fence. Which process runs a job's items
-// is decided elsewhere, and two processes may run the same items for a while.
+// so no write waits for an election or needs a fence. Package runner decides which process
+// runs a job's items; two processes may run the same items for a while.
 package jobstore
 
 import (
@@ -33,7 +33,7 @@
 // Timeouts, intervals and limits of the store.
 const (
 	// readWait bounds a read that waits for new records. The keep-alive detects a dead
-	// connection sooner; this bound covers a store that accepts a call and never answers.
+	// connection sooner; this bound covers a store that accepts a call and never responds.
 	readWait = 8 * time.Second
 	// absenceMaxAge is the maximum age of the state on which a job is reported as not
 	// found. It is below one second, the time within which every process must know an
@@ -66,8 +66,8 @@
 	ErrJobNotFound = errors.New("job not found")
 	// ErrJobConflict is returned when a different job already has the id.
 	ErrJobConflict = errors.New("a different job already has this id")
-	// ErrStoreUnavailable is returned when the shared store does not answer, so that the state of
-	// the job is not known. A write that returns it was not carried out.
+	// ErrStoreUnavailable is returned when the shared store is unresponsive, so that the
+	// state of the job is not known. A write that returns it was not carried out.
 	ErrStoreUnavailable = errors.New("job store is unavailable and the job's state is unknown")
 	// ErrOutcomeUnknown is returned when a write may or may not have been carried out.
 	ErrOutcomeUnknown = errors.New("job store did not answer and the write may have been carried out")
@@ -122,8 +122,8 @@
 }
 
 // unfollowIdle stops following partitions that have not been used for idleTimeout.
-// Without it a process would follow every partition that a caller ever asked for and,
-// in the end, read the writes of all other processes.
+// Without it a process would follow every partition that a caller ever used and, in the
+// end, read the writes of all other processes.
 func (s *Store) unfollowIdle(ctx context.Context) {
 	for wait.For(ctx, unfollowInterval) == nil {
 		now := time.Now()
@@ -165,7 +165,7 @@
 }
 
 // forCaller returns a partition for a caller and starts following it on first use, so
-// that a process follows only the partitions that it runs or that its callers ask for.
+// that a process follows only the partitions that it runs or that its callers use.
 // Partitions that only callers use are read under a rate limit, so that these reads
 // cannot take the store's capacity from the processes that run the jobs.
 func (s *Store) forCaller(number int) *partition {
@@ -187,8 +187,8 @@
 		OnFailure: func(err error) {
 			s.logger.Warn("job partition does not answer", logging.F("partition", number), logging.F("error", err.Error()))
 		},
-		OnRecovery: func(away time.Duration) {
-			s.logger.Info("job partition answers again", logging.F("partition", number), logging.F("away_ms", away.Milliseconds()))
+		OnRecovery: func(outage time.Duration) {
+			s.logger.Info("job partition answers again", logging.F("partition", number), logging.F("away_ms", outage.Milliseconds()))
 		},
 	})
 	s.partitions[number] = p
@@ -199,8 +199,8 @@
 }
 
 // ensureFresh brings the state to within absenceMaxAge of the store, as is needed before
-// a job is reported as not found. It returns an error marked ErrStoreUnavailable if the store does
-// not answer.
+// a job is reported as not found. It returns an error marked ErrStoreUnavailable if the
+// store is unresponsive.
 func (p *partition) ensureFresh(ctx context.Context) error {
 	if err := p.follower.CatchUp(ctx, absenceMaxAge); err != nil {
 		return errors.Mark(err, ErrStoreUnavailable)
@@ -227,8 +227,8 @@
 	return found
 }
 
-// RecordOutcomes records the outcomes of items whose jobs belong to the given partition. Each
-// outcome is listed at the next free position of its job's results.
+// RecordOutcomes records the outcomes of items whose jobs belong to the given partition.
+// Each outcome is listed at the next free position of its job's results.
 func (s *Store) RecordOutcomes(ctx context.Context, number int, outcomes []jobs.Outcome) error {
 	return s.update(ctx, s.forRunner(number), func(t *jobs.Table) ([]store.Record, error) {
 		return t.List(outcomes)
@@ -251,7 +251,7 @@
 }
 
 // update appends the records that decide returns for the partition's state, and repeats
-// this until decide returns none. After an append without an answer it refreshes the
+// this until decide returns none. After an append without a response it refreshes the
 // state first: the records are either there or, once the partition's end has moved, can
 // no longer be written.
 func (s *Store) update(ctx context.Context, p *partition, decide func(*jobs.Table) ([]store.Record, error)) error {
@@ -300,7 +300,7 @@
 	}
 }
 
-// noPendingAppend means that every append of an update has been answered.
+// noPendingAppend means that no append of an update may still be carried out.
 const noPendingAppend int64 = -1
 
 // updateError marks cause as ErrOutcomeUnknown if an append may still be carried out, and
@@ -332,7 +332,7 @@
 
 // appendOrObserve appends records. It also returns, without an error, as soon as the
 // follower sees that the partition's end has moved: the records are then either there or
-// can no longer be written. This way a lost answer does not delay the caller if the
+// can no longer be written. This way a lost response does not delay the caller if the
 // follower reads the records sooner. With an error it returns the end at which the
 // failed call was made.
 func (s *Store) appendOrObserve(ctx context.Context, p *partition, recs []store.Record, at int64) (int64, error) {
@@ -341,10 +341,10 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answered := make(chan error, 1)
+	appended := make(chan error, 1)
 	go func() {
 		_, err := s.append(ctx, p, recs, at)
-		answered <- err
+		appended <- err
 	}()
 	for {
 		advanced, changed := p.advancedPast(at)
@@ -352,7 +352,7 @@
 			return at, nil
 		}
 		select {
-		case err := <-answered:
+		case err := <-appended:
 			return at, err
 		case <-changed:
 		}
--- a/jobstore/jobstore_test.go
+++ b/jobstore/jobstore_test.go
@@ -45,9 +45,9 @@
 	})
 }
 
-// Guards against a job that runs although its client was told that it would not. The append
-// of the job gets no answer before the deadline, and the store carries it out seconds later.
-// A missing answer must not be reported as "not run".
+// Guards against a job that runs although the response to its client was "not run". The
+// append of the job gets no response before the deadline, and the store carries it out
+// seconds later. A missing response must not be reported as "not run".
 func TestLateAppendReportsOutcomeUnknown(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
@@ -68,9 +68,9 @@
 }
 
 // Guards against the same failure for a job that needs two appends. The first succeeds; the
-// second gets no answer, is refused on the retry, and is carried out after the client has
-// been answered. An append at any end may be pending, not only one at the end at which the
-// write began.
+// second gets no response, is refused on the retry, and is carried out after the client has
+// got its response. An append at any end may be pending, not only one at the end at which
+// the write began.
 func TestLateSecondAppendReportsOutcomeUnknown(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
@@ -90,7 +90,7 @@
 	})
 }
 
-// secondAppendLate delays the second append so that it gets no answer, and makes the store
+// secondAppendLate delays the second append so that it gets no response, and makes the store
 // refuse this host afterwards.
 type secondAppendLate struct {
 	store.Log
@@ -130,13 +130,13 @@
 		callCtx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 		defer cancel()
 		if err := st.Accept(callCtx, spec("job", 1)); !errors.Is(err, jobstore.ErrStoreUnavailable) || errors.Is(err, jobstore.ErrOutcomeUnknown) {
-			t.Fatalf("got %v, want the certain answer that nothing was written", err)
+			t.Fatalf("got %v, want the certain error that nothing was written", err)
 		}
 	})
 }
 
 // Guards against an acceptance that takes a second although the store wrote the job at once.
-// The store loses the answer to the append, but the follower reads the record back.
+// The store loses the response to the append, but the follower reads the record back.
 func TestAcceptReturnsOnceItsRecordIsRead(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
@@ -150,9 +150,9 @@
 	})
 }
 
-// Guards against a late append that changes a job. The append of a result gets no answer, and
-// the store carries it out after another process has written to the partition. The condition
-// on the partition's end must reject it.
+// Guards against a late append that changes a job. The append of a result gets no response,
+// and the store carries it out after another process has written to the partition. The
+// condition on the partition's end must reject it.
 func TestLateAppendOfPausedWriterHasNoEffect(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
@@ -176,7 +176,7 @@
 }
 
 // Guards against a job reported as not found, because the local state is stale, when another
-// node has accepted it or the store does not answer.
+// node has accepted it or the store is unresponsive.
 func TestUnknownJobRequiresFreshState(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
@@ -202,7 +202,8 @@
 	})
 }
 
-// Checks that a job that needs several appends is readable in full at another process.
+// Checks that a job that needs several appends is readable in full at another process. Such
+// a job must be either complete or absent.
 func TestJobOfSeveralAppendsIsComplete(t *testing.T) {
 	inBubble(t, func(ctx context.Context, t *testing.T) {
 		s := sharedstore.New(1)
@@ -244,11 +245,11 @@
 // that a caller has read.
 const propagationTime = time.Second
 
-// oracle records the answers that callers got and checks later answers against them: an
+// oracle records the responses that callers got and checks later responses against them: an
 // accepted job stays readable, and a result keeps its position and content once read.
 type oracle struct {
 	accepted map[string]time.Time
-	denied   map[string]bool // every answer so far was "not run"
+	denied   map[string]bool // every response so far was "not run"
 	read     map[string]readResult
 }
 
@@ -265,7 +266,7 @@
 // The kinds of moves.
 const (
 	moveFault = iota
-	moveForget
+	moveDropHistory
 	moveRestart
 	moveSleep
 	moveAccept
@@ -305,8 +306,8 @@
 
 // Guards against accepted jobs that are lost, results that move or change, and refused jobs
 // that exist. Three nodes accept jobs, list results and read them while the store refuses
-// calls, loses answers, answers late or not at all or drops its history, and while all nodes
-// restart without their state.
+// calls, loses responses, responds late or not at all or drops its history, and while all
+// nodes restart without their state.
 func TestGuaranteesUnderRandomFaults(t *testing.T) {
 	checkMoves(t, drawMove, 5, 60, playMoves)
 }
@@ -333,7 +334,7 @@
 		switch m.Kind {
 		case moveFault:
 			s.SetFault(hosts[m.Node], faults[(m.Item+m.Ms)%len(faults)])
-		case moveForget:
+		case moveDropHistory:
 			s.DropHistory(store.Partition{Topic: topic})
 		case moveRestart:
 			restart()
--- a/jobstore/places.go
+++ b/jobstore/places.go
@@ -56,13 +56,13 @@
 // partition that it leaves out.
 func (s *Store) candidates(home *partition, id string) []int {
 	now := time.Now()
-	if s.storeHealth.unavailable(now, outageThreshold, unavailableBackoff, s.lastAnswer()) {
+	if s.storeHealth.unavailable(now, outageThreshold, unavailableBackoff, s.lastResponse()) {
 		s.probe(home)
 		return nil
 	}
 	var out []int
 	for _, n := range append([]int{home.number}, s.alternatesOf(id)...) {
-		if !s.healthOf(n).unavailable(now, 1, unavailableBackoff, s.lastAnswerOf(n)) {
+		if !s.healthOf(n).unavailable(now, 1, unavailableBackoff, s.lastResponseOf(n)) {
 			out = append(out, n)
 		} else if p := s.followed(n); p != nil {
 			s.probe(p)
@@ -85,23 +85,23 @@
 
 // followed returns a partition if this process follows it already, and nil otherwise.
 // Following the alternates of each job as well would make a process follow four times as
-// many partitions as its callers ask for.
+// many partitions as its callers use.
 func (s *Store) followed(number int) *partition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.partitions[number]
 }
 
-// lastAnswerOf returns when a partition last answered, or the zero time if it is not
+// lastResponseOf returns when a partition last responded, or the zero time if it is not
 // followed.
-func (s *Store) lastAnswerOf(number int) time.Time {
+func (s *Store) lastResponseOf(number int) time.Time {
 	if p := s.followed(number); p != nil {
 		return p.follower.AsOf()
 	}
 	return time.Time{}
 }
 
-// probe checks in the background whether a partition answers again. It runs at most one
+// probe checks in the background whether a partition responds again. It runs at most one
 // check per partition at a time. Without it a caller's request would have to serve as the
 // check after each back-off and wait for its timeout.
 func (s *Store) probe(p *partition) {
@@ -118,8 +118,8 @@
 	}()
 }
 
-// lastAnswer returns when any followed partition last answered.
-func (s *Store) lastAnswer() time.Time {
+// lastResponse returns when any followed partition last responded.
+func (s *Store) lastResponse() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var last time.Time
--- a/jobstore/read.go
+++ b/jobstore/read.go
@@ -46,7 +46,7 @@
 			break
 		}
 	}
-	// Another process may have returned a result already that is not known here yet.
+	// Another process may have returned a result already that this process has not read yet.
 	if err := p.ensureFresh(context.WithoutCancel(ctx)); err != nil {
 		return Results{}, err
 	}
