--- a/store/failover.go
+++ b/store/failover.go
@@ -12,9 +12,9 @@
 const (
 	// callTimeout bounds a call that does not wait for records.
 	callTimeout = 800 * time.Millisecond
-	// slowAnswerTimeout is how long a slow call may continue after the next backend has
+	// slowResponseTimeout is how long a slow call may continue after the next backend has
 	// been tried as well.
-	slowAnswerTimeout = 4 * time.Second
+	slowResponseTimeout = 4 * time.Second
 	// avoidInterval is how long a failed backend is avoided: long enough that an
 	// unresponsive store does not delay each call, short enough to return to direct
 	// calls soon.
@@ -34,7 +34,7 @@
 }
 
 // Failover is a Client that calls the store through peers while the store refuses
-// this host or does not answer it. A store may refuse single hosts for seconds while
+// this host or does not respond to it. A store may refuse single hosts for seconds while
 // it serves the others; without peers, such a host could neither read changes nor
 // accept jobs.
 type Failover struct {
@@ -44,7 +44,7 @@
 	mu               sync.Mutex
 	avoidDirectUntil time.Time
 	avoidPeersUntil  time.Time
-	// directFailed is set when a direct call fails and cleared when one is answered.
+	// directFailed is set when a direct call fails and cleared when one succeeds.
 	// peersFailed is the same for calls through peers.
 	directFailed bool
 	peersFailed  bool
@@ -56,8 +56,8 @@
 	return &Failover{direct: direct, peers: peers}
 }
 
-// Append implements Log. It does not retry an append without an answer, since the
-// append may have been applied: the caller has to read the partition first.
+// Append implements Log. It does not retry an append that gets no response, since
+// the append may have been applied: the caller has to read the partition first.
 func (f *Failover) Append(ctx context.Context, p Partition, recs []Record, at int64) (int64, error) {
 	var lastErr error
 	for _, b := range f.backends(true) {
@@ -82,21 +82,21 @@
 
 // Read implements Log.
 func (f *Failover) Read(ctx context.Context, p Partition, from int64, wait time.Duration) (Page, error) {
-	return firstAnswer(ctx, f, wait+callTimeout, func(ctx context.Context, b Peer) (Page, error) {
+	return firstResponse(ctx, f, wait+callTimeout, func(ctx context.Context, b Peer) (Page, error) {
 		return b.Read(ctx, p, from, wait)
 	})
 }
 
 // Newest implements Log.
 func (f *Failover) Newest(ctx context.Context, p Partition, after string) (Snapshot, error) {
-	return firstAnswer(ctx, f, callTimeout, func(ctx context.Context, b Peer) (Snapshot, error) {
+	return firstResponse(ctx, f, callTimeout, func(ctx context.Context, b Peer) (Snapshot, error) {
 		return b.Newest(ctx, p, after)
 	})
 }
 
 // Join implements Groups.
 func (f *Failover) Join(ctx context.Context, req JoinRequest) (Membership, error) {
-	return firstAnswer(ctx, f, callTimeout, func(ctx context.Context, b Peer) (Membership, error) {
+	return firstResponse(ctx, f, callTimeout, func(ctx context.Context, b Peer) (Membership, error) {
 		return b.Join(ctx, req)
 	})
 }
@@ -115,12 +115,12 @@
 	return f.direct.Owners(ctx, group)
 }
 
-// firstAnswer makes an idempotent call with hedging: it calls the backends in order and
-// starts the next call when one fails or has not answered after hedgeDelay. A slow call
-// continues meanwhile for up to slowAnswerTimeout; otherwise a large answer over a slow
+// firstResponse makes an idempotent call with hedging: it calls the backends in order and
+// starts the next call when one fails or has not responded after hedgeDelay. A slow call
+// continues meanwhile for up to slowResponseTimeout; otherwise a large response over a slow
 // link would be requested repeatedly without ever completing.
-func firstAnswer[T any](ctx context.Context, f *Failover, hedgeDelay time.Duration, call func(context.Context, Peer) (T, error)) (T, error) {
-	type answer struct {
+func firstResponse[T any](ctx context.Context, f *Failover, hedgeDelay time.Duration, call func(context.Context, Peer) (T, error)) (T, error) {
+	type response struct {
 		backend Peer
 		result  T
 		err     error
@@ -129,7 +129,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	backends := f.backends(false)
-	answers := make(chan answer, len(backends))
+	responses := make(chan response, len(backends))
 	timer := time.NewTimer(hedgeDelay)
 	defer timer.Stop()
 	started, inFlight := 0, 0
@@ -142,27 +142,27 @@
 		inFlight++
 		timer.Reset(hedgeDelay)
 		go func() {
-			callCtx, cancel := context.WithTimeout(ctx, hedgeDelay+slowAnswerTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, hedgeDelay+slowResponseTimeout)
 			defer cancel()
 			result, err := call(callCtx, b)
-			answers <- answer{b, result, err}
+			responses <- response{b, result, err}
 		}()
 	}
 	startNext()
 	var lastErr error
 	for inFlight > 0 {
 		select {
-		case a := <-answers:
+		case r := <-responses:
 			inFlight--
-			if a.err == nil || !canFailOver(a.err) {
-				f.recordResult(a.backend, nil)
-				return a.result, a.err
+			if r.err == nil || !canFailOver(r.err) {
+				f.recordResult(r.backend, nil)
+				return r.result, r.err
 			}
 			if ctx.Err() != nil {
-				return zero, a.err
+				return zero, r.err
 			}
-			f.recordResult(a.backend, a.err)
-			lastErr = a.err
+			f.recordResult(r.backend, r.err)
+			lastErr = r.err
 			startNext()
 		case <-timer.C:
 			f.recordResult(backends[started-1], ErrUnavailable)
@@ -174,16 +174,16 @@
 	return zero, lastErr
 }
 
-// DirectReachable reports whether direct calls reach the store. It returns false after a direct call
-// that got no answer or was refused, until another one succeeds.
+// DirectReachable reports whether direct calls reach the store. It returns false after a
+// direct call that got no response or was refused, until another one succeeds.
 func (f *Failover) DirectReachable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.directFailed
 }
 
-// Unreachable reports whether no backend reaches the store: the last direct call failed, and so did
-// the last call through peers, or there are no peers.
+// Unreachable reports whether no backend reaches the store: the last direct call failed, and
+// so did the last call through peers, or there are no peers.
 func (f *Failover) Unreachable() bool {
 	noPeers := len(f.peers()) == 0
 	f.mu.Lock()
@@ -198,7 +198,7 @@
 
 // backends returns the backends to call, in order. After a failed direct call, reads try
 // the direct client first again once avoidInterval has passed. Appends do so only after
-// such a read has succeeded, since an append without an answer cannot be retried elsewhere
+// such a read has succeeded, since an append without a response cannot be retried elsewhere
 // and a caller waits for it.
 func (f *Failover) backends(isAppend bool) []Peer {
 	f.mu.Lock()
--- a/store/failover_test.go
+++ b/store/failover_test.go
@@ -17,7 +17,7 @@
 }
 
 // Guards against an entry that accepts no jobs and sees no changes while the store refuses
-// or does not answer its host but serves others.
+// or does not respond to its host but serves others.
 func TestRefusedHostCallsThroughPeers(t *testing.T) {
 	for _, fault := range []sharedstore.Fault{sharedstore.Refuse, sharedstore.NoResponse} {
 		synctest.Test(t, func(t *testing.T) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// Guards against a duplicate record: an append whose answer is lost has been applied.
-func TestAppendWithoutAnswerIsNotRetried(t *testing.T) {
+// Guards against a duplicate record: an append whose response is lost has been applied.
+func TestAppendWithoutResponseIsNotRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
 		s.SetFault("a", sharedstore.LoseResponse)
@@ -72,12 +72,12 @@
 		}
 		// Only the first call within the second tries the two peers.
 		if got := s.CallCount(); got > calls+2 {
-			t.Fatalf("the store received %d calls for %d reads", got, calls)
+			t.Fatalf("the store received %d calls for %d reads, want at most 2 more", got, calls)
 		}
 	})
 }
 
-// Guards against calls that each wait for the timeout of a store that does not answer.
+// Guards against calls that each wait for the timeout of an unresponsive store.
 func TestAvoidsUnresponsiveStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
@@ -95,8 +95,8 @@
 	})
 }
 
-// Guards against appends that retry a store which does not answer: once a second, a job would
-// wait for 0.8 s and then be neither accepted nor refused with a definite answer.
+// Guards against appends that retry an unresponsive store: once a second, a job would wait
+// for 0.8 s and then be neither accepted nor refused with a definite answer.
 func TestAppendAvoidsUnresponsiveStoreUntilRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := sharedstore.New(1)
--- a/store/follower.go
+++ b/store/follower.go
@@ -31,8 +31,7 @@
 	// read that succeeds after it, with the length of the outage.
 	OnFailure  func(err error)
 	OnRecovery func(outage time.Duration)
-	// This semaphore bounds the number of concurrent full reads of partitions; nil sets
-	// no bound.
+	// LoadLimit bounds the number of concurrent full reads of partitions; nil sets no bound.
 	LoadLimit LoadLimit
 	// Clock is a monotonic clock for confirmation times; nil if they are not used.
 	Clock func() time.Duration
@@ -324,7 +323,7 @@
 	return f.readToEnd(ctx)
 }
 
-// readToEnd makes reads that do not wait until one returns no records.
+// readToEnd reads repeatedly, without waiting for new records, until a read returns none.
 func (f *Follower) readToEnd(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
--- a/store/follower_test.go
+++ b/store/follower_test.go
@@ -151,7 +151,7 @@
 		f := store.NewFollower(s.ClientFor("a"), testPartition, m, store.FollowerConfig{Wait: time.Hour})
 		go f.Run(ctx)
 		time.Sleep(10 * time.Millisecond)
-		s.SetFault("a", sharedstore.NoResponse) // the pending read gets no answer
+		s.SetFault("a", sharedstore.NoResponse) // the pending read gets no response
 		synctest.Wait()
 		s.Put(testPartition, "k", []byte("v"))
 		s.SetFault("a", sharedstore.NoFault)
@@ -165,7 +165,7 @@
 	})
 }
 
-// Guards against a wrong "no such job" answer while the store refuses calls.
+// Guards against a wrong "no such job" response while the store refuses calls.
 func TestCatchUpFailsWhileStoreRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/store/narrow_test.go
+++ b/store/narrow_test.go
@@ -82,7 +82,7 @@
 			}
 		}
 		if pages := link.readPages(); pages > partitions+partitions/2 {
-			t.Errorf("read %d pages for %d partitions", pages, partitions)
+			t.Errorf("read %d pages for %d partitions, want at most half as many again", pages, partitions)
 		}
 		cancel()
 		synctest.Wait()
--- a/store/observed.go
+++ b/store/observed.go
@@ -39,54 +39,54 @@
 	return "no_answer"
 }
 
-func (o *Instrumented) record(call string, start time.Time, err error) {
-	o.observe(call, outcome(err), time.Since(start))
+func (i *Instrumented) record(call string, start time.Time, err error) {
+	i.observe(call, outcome(err), time.Since(start))
 }
 
 // Append implements Log.
-func (o *Instrumented) Append(ctx context.Context, p Partition, recs []Record, at int64) (int64, error) {
+func (i *Instrumented) Append(ctx context.Context, p Partition, recs []Record, at int64) (int64, error) {
 	start := time.Now()
-	end, err := o.client.Append(ctx, p, recs, at)
-	o.record("append", start, err)
+	end, err := i.client.Append(ctx, p, recs, at)
+	i.record("append", start, err)
 	return end, err
 }
 
 // Read implements Log.
-func (o *Instrumented) Read(ctx context.Context, p Partition, from int64, wait time.Duration) (Page, error) {
+func (i *Instrumented) Read(ctx context.Context, p Partition, from int64, wait time.Duration) (Page, error) {
 	start := time.Now()
-	page, err := o.client.Read(ctx, p, from, wait)
-	o.record("read", start, err)
+	page, err := i.client.Read(ctx, p, from, wait)
+	i.record("read", start, err)
 	return page, err
 }
 
 // Newest implements Log.
-func (o *Instrumented) Newest(ctx context.Context, p Partition, after string) (Snapshot, error) {
+func (i *Instrumented) Newest(ctx context.Context, p Partition, after string) (Snapshot, error) {
 	start := time.Now()
-	snap, err := o.client.Newest(ctx, p, after)
-	o.record("newest", start, err)
+	snap, err := i.client.Newest(ctx, p, after)
+	i.record("newest", start, err)
 	return snap, err
 }
 
 // Join implements Groups.
-func (o *Instrumented) Join(ctx context.Context, req JoinRequest) (Membership, error) {
+func (i *Instrumented) Join(ctx context.Context, req JoinRequest) (Membership, error) {
 	start := time.Now()
-	m, err := o.client.Join(ctx, req)
-	o.record("join", start, err)
+	m, err := i.client.Join(ctx, req)
+	i.record("join", start, err)
 	return m, err
 }
 
 // Leave implements Groups.
-func (o *Instrumented) Leave(ctx context.Context, group, member string) error {
+func (i *Instrumented) Leave(ctx context.Context, group, member string) error {
 	start := time.Now()
-	err := o.client.Leave(ctx, group, member)
-	o.record("leave", start, err)
+	err := i.client.Leave(ctx, group, member)
+	i.record("leave", start, err)
 	return err
 }
 
 // Owners implements Groups.
-func (o *Instrumented) Owners(ctx context.Context, group string) ([]Owner, error) {
+func (i *Instrumented) Owners(ctx context.Context, group string) ([]Owner, error) {
 	start := time.Now()
-	owners, err := o.client.Owners(ctx, group)
-	o.record("owners", start, err)
+	owners, err := i.client.Owners(ctx, group)
+	i.record("owners", start, err)
 	return owners, err
 }
--- a/store/pace.go
+++ b/store/pace.go
@@ -45,38 +45,38 @@
 }
 
 // Rate returns the current limit in reads per second.
-func (p *ReadLimiter) Rate() float64 {
-	return float64(p.limiter.Limit())
+func (l *ReadLimiter) Rate() float64 {
+	return float64(l.limiter.Limit())
 }
 
 // wait blocks until the rate limit permits a read. When that cannot happen before the
 // deadline of ctx, it fails at once with ErrRefused, as no call was made to the store.
-func (p *ReadLimiter) wait(ctx context.Context) error {
-	if err := p.limiter.Wait(ctx); err != nil {
+func (l *ReadLimiter) wait(ctx context.Context) error {
+	if err := l.limiter.Wait(ctx); err != nil {
 		return errors.Mark(err, ErrRefused)
 	}
 	return nil
 }
 
 // observe adjusts the rate by the result of a read.
-func (p *ReadLimiter) observe(now time.Time, err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	limit := float64(p.limiter.Limit())
+func (l *ReadLimiter) observe(now time.Time, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	limit := float64(l.limiter.Limit())
 	switch {
 	case errors.Is(err, ErrRefused):
-		if now.Sub(p.backedOffAt) < minBackoffInterval {
+		if now.Sub(l.backedOffAt) < minBackoffInterval {
 			return
 		}
-		p.backedOffAt = now
+		l.backedOffAt = now
 		limit = max(minReadRate, limit/2)
 	case err == nil:
-		limit = min(maxReadRate, limit+readRateGrowth*min(now.Sub(p.adjustedAt), time.Second).Seconds())
+		limit = min(maxReadRate, limit+readRateGrowth*min(now.Sub(l.adjustedAt), time.Second).Seconds())
 	default:
-		return // a missing answer is no evidence about the store's rate
+		return // a missing response is no evidence about the store's rate
 	}
-	p.adjustedAt = now
-	p.limiter.SetLimitAt(now, rate.Limit(limit))
+	l.adjustedAt = now
+	l.limiter.SetLimitAt(now, rate.Limit(limit))
 }
 
 // RateLimitedLog is a Log that limits the rate of its reads.
--- a/store/pace_test.go
+++ b/store/pace_test.go
@@ -45,12 +45,12 @@
 		}
 		_, refused = readRepeatedly(t.Context(), log, 10*time.Second)
 		if refused == 0 || refused > normal/5 {
-			t.Errorf("during refusals: %d reads in 10 s, %d without faults", refused, normal)
+			t.Errorf("during refusals: %d refused reads in 10 s, want more than 0 and at most a fifth of the %d without faults", refused, normal)
 		}
 		s.SetFault("a", sharedstore.NoFault)
 		readRepeatedly(t.Context(), log, 15*time.Second)
 		if recovered, _ := readRepeatedly(t.Context(), log, 10*time.Second); recovered < normal*9/10 {
-			t.Errorf("after recovery: %d reads served in 10 s, %d before the fault", recovered, normal)
+			t.Errorf("after recovery: %d reads served in 10 s, want at least nine tenths of the %d before the fault", recovered, normal)
 		}
 	})
 }
@@ -94,7 +94,7 @@
 			t.Errorf("got error %v, want ErrRefused", err)
 		}
 		if took := time.Since(start); took > 0 || s.CallCount() != calls {
-			t.Errorf("failed after %s and %d calls, want at once and none", took, s.CallCount()-calls)
+			t.Errorf("failed after %s and %d store calls, want at once and none", took, s.CallCount()-calls)
 		}
 	})
 }
--- a/store/store.go
+++ b/store/store.go
@@ -19,13 +19,13 @@
 	Number int
 }
 
-// SpreadPartitions returns up to count partitions of a topic with the given number of parts, as
-// far apart as possible, so that data copied to each of them stays available while some
-// partitions are unavailable.
-func SpreadPartitions(topic string, parts, count int) []Partition {
+// SpreadPartitions returns up to count of the total partitions of a topic, as far apart as
+// possible, so that data copied to each of them stays available while some partitions are
+// unavailable.
+func SpreadPartitions(topic string, total, count int) []Partition {
 	var out []Partition
-	for i := range min(count, parts) {
-		out = append(out, Partition{Topic: topic, Number: i * parts / count})
+	for i := range min(count, total) {
+		out = append(out, Partition{Topic: topic, Number: i * total / count})
 	}
 	return out
 }
@@ -106,7 +106,7 @@
 	Groups
 }
 
-// ErrUnavailable reports that a call got no answer. It may have been applied.
+// ErrUnavailable reports that a call got no response. It may have been applied.
 var ErrUnavailable = errors.New("shared store did not answer")
 
 // ErrRefused reports that the store rejected a call without applying it.
