--- a/peers/grants.go
+++ b/peers/grants.go
@@ -19,14 +19,14 @@
 	// an unresponsive session need not be detected sooner.
 	grantHeartbeat = link.DefaultIdleHeartbeatInterval
 	// unansweredTimeout is how long a session may leave requests unanswered before it is
-	// replaced. Replacing it after each late answer would keep a temporarily slow host
+	// replaced. Replacing it after each late reply would keep a temporarily slow host
 	// slow, since it would spend its time on opening sessions.
 	unansweredTimeout = 1500 * time.Millisecond
 )
 
-// GrantClient requests rate-limit grants from other processes. It keeps one session per process
-// open while the session is in use. It implements ratelimit.GrantClient and is safe for concurrent
-// use.
+// GrantClient requests rate-limit grants from other processes. It keeps one session per
+// process open while the session is in use. It implements ratelimit.GrantClient and is safe
+// for concurrent use.
 type GrantClient struct {
 	cfg link.Config
 
@@ -39,12 +39,13 @@
 type grantSession struct {
 	peer     *link.Peer
 	lastUsed time.Time
-	// unansweredSince is the start of the first unanswered request after the last answer, zero
+	// unansweredSince is the start of the first unanswered request after the last reply, zero
 	// if there is none.
 	unansweredSince time.Time
 }
 
-// NewGrantClient returns a client without open sessions. It overrides the heartbeat intervals of cfg.
+// NewGrantClient returns a client without open sessions. It overrides the heartbeat
+// intervals of cfg.
 func NewGrantClient(cfg link.Config) *GrantClient {
 	cfg.IdleHeartbeatInterval, cfg.HeartbeatInterval = grantHeartbeat, grantHeartbeat
 	return &GrantClient{cfg: cfg, sessions: make(map[string]*grantSession)}
@@ -71,7 +72,7 @@
 }
 
 // Acts asks the process at addr whether it acts for a shard. answered is false when the
-// process gives no answer.
+// process does not reply.
 func (g *GrantClient) Acts(ctx context.Context, addr string, shard int) (acts, answered bool) {
 	r, err := g.call(ctx, addr, &wire.GrantRequest{Shard: uint32(shard)})
 	return err == nil && r.GetOutcome() == wire.GrantReply_GRANTED, err == nil
@@ -146,7 +147,7 @@
 	Grant(req ratelimit.GrantRequest) ratelimit.GrantReply
 }
 
-// grant answers a request for a rate-limit grant or, if it names no workspace, a query
+// grant replies to a request for a rate-limit grant or, if it names no workspace, a query
 // whether this process acts for a shard.
 func (s *Server) grant(req *wire.GrantRequest) *wire.GrantReply {
 	if req.GetWorkspace() == "" {
--- a/peers/grants_test.go
+++ b/peers/grants_test.go
@@ -25,9 +25,9 @@
 	return ratelimit.GrantReply{Outcome: ratelimit.Granted, Granted: req.Want}
 }
 
-// askRepeatedly sends requests at an interval to a process that takes delay for each. It
+// requestRepeatedly sends requests at an interval to a process that takes delay for each. It
 // returns the number of answered requests, of sessions opened and of writes to them.
-func askRepeatedly(t *testing.T, delay time.Duration, requests int, interval time.Duration) (answered, dials, writes int) {
+func requestRepeatedly(t *testing.T, delay time.Duration, requests int, interval time.Duration) (answered, dials, writes int) {
 	t.Helper()
 	runtime.GC() // as in withPeerPair
 	runtime.GC()
@@ -41,9 +41,9 @@
 		var written atomic.Int64
 		g := peers.NewGrantClient(link.Config{Dial: func(context.Context, string) (net.Conn, error) {
 			dials++
-			near, far := net.Pipe()
-			go link.ServeConn(ctx, far, link.Config{Handle: server.Handle})
-			return countingConn{near, &written}, nil
+			clientConn, serverConn := net.Pipe()
+			go link.ServeConn(ctx, serverConn, link.Config{Handle: server.Handle})
+			return countingConn{clientConn, &written}, nil
 		}})
 		defer g.Close()
 		for i := range requests {
@@ -54,7 +54,7 @@
 				answered++
 			}
 			if i == requests-1 {
-				// Count the writes before the sleep, as its end may coincide with a heartbeat.
+				// Count the writes before the sleep, whose end may coincide with a heartbeat.
 				synctest.Wait()
 				writes = int(written.Load())
 			}
@@ -78,30 +78,30 @@
 // Guards against a session that is reopened every few seconds although it is in regular use.
 func TestGrantSessionStaysOpenWhileUsed(t *testing.T) {
 	const requests = 40
-	answered, dials, _ := askRepeatedly(t, 0, requests, 6*time.Second)
+	answered, dials, _ := requestRepeatedly(t, 0, requests, 6*time.Second)
 	if answered != requests || dials != 1 {
 		t.Errorf("%d of %d requests answered over %d sessions, want all over 1", answered, requests, dials)
 	}
 }
 
 // Guards against a temporarily slow host that spends all its time on opening sessions because
-// each late answer causes a new one.
-func TestLateAnswersOpenFewSessions(t *testing.T) {
+// each late reply causes a new one.
+func TestLateRepliesOpenFewSessions(t *testing.T) {
 	const requests, requestInterval = 40, 100 * time.Millisecond
 	const maxSessions = 1 + requests*requestInterval/(1500*time.Millisecond)
-	if _, dials, _ := askRepeatedly(t, 150*time.Millisecond, requests, 20*time.Millisecond); dials > int(maxSessions) {
-		t.Errorf("opened %d sessions for %d late answers", dials, requests)
+	if _, dials, _ := requestRepeatedly(t, 150*time.Millisecond, requests, 20*time.Millisecond); dials > int(maxSessions) {
+		t.Errorf("opened %d sessions for %d late replies", dials, requests)
 	}
 }
 
 // Guards against a heartbeat with each request.
 func TestGrantRequestSendsNoHeartbeat(t *testing.T) {
 	const requests = 100
-	_, _, writesOfOne := askRepeatedly(t, 0, 1, time.Second)
-	_, _, writesOfAll := askRepeatedly(t, 0, requests, time.Second)
-	const maxPerRequest = 4 + 1 // stream open, two request writes, stream close; two writes for a heartbeat every 2 s
+	_, _, writesOfOne := requestRepeatedly(t, 0, 1, time.Second)
+	_, _, writesOfAll := requestRepeatedly(t, 0, requests, time.Second)
+	const maxPerRequest = 4 + 1 // stream open, two request writes, stream close; a heartbeat of two writes every 2 s
 	if perRequest := float64(writesOfAll-writesOfOne) / (requests - 1); perRequest > maxPerRequest {
-		t.Errorf("%.1f writes per request", perRequest)
+		t.Errorf("%.1f writes per request, more than allowed", perRequest)
 	}
 }
 
@@ -119,27 +119,27 @@
 		server := &peers.Server{Granter: slowGranter{}}
 		var dropping *atomic.Bool // of the newest connection
 		g := peers.NewGrantClient(link.Config{Dial: func(context.Context, string) (net.Conn, error) {
-			near, far := net.Pipe()
+			clientConn, serverConn := net.Pipe()
 			dropping = &atomic.Bool{}
-			go link.ServeConn(ctx, far, link.Config{Handle: server.Handle})
-			return droppingConn{near, dropping}, nil
+			go link.ServeConn(ctx, serverConn, link.Config{Handle: server.Handle})
+			return droppingConn{clientConn, dropping}, nil
 		}})
 		defer g.Close()
-		ask := func() bool {
+		request := func() bool {
 			callCtx, stop := context.WithTimeout(ctx, 80*time.Millisecond)
 			defer stop()
 			return g.RequestGrants(callCtx, "there", ratelimit.GrantRequest{Limit: ratelimit.Limit{Workspace: "w", Rate: 5}, Want: 1}).Outcome == ratelimit.Granted
 		}
-		if !ask() {
-			t.Fatal("no answer on a working connection")
+		if !request() {
+			t.Fatal("no reply on a working connection")
 		}
 		synctest.Wait()
 		dropping.Store(true)
 		start := time.Now()
 		const maxRecovery = 2 * time.Second
-		for !ask() {
+		for !request() {
 			if time.Since(start) > maxRecovery {
-				t.Fatalf("no answer %s after the connection stopped delivering", time.Since(start))
+				t.Fatalf("no reply %s after the connection stopped delivering", time.Since(start))
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -26,7 +26,7 @@
 	Jobs  JobServer
 	// Granter decides on requests for grants in shards that this process acts for.
 	Granter Granter
-	// This function returns the time since which this process has acted for a shard, or
+	// ActingSince returns the time since which this process has acted for a shard, or
 	// false while it does not act for it.
 	ActingSince func(shard int) (since time.Duration, ok bool)
 }
@@ -134,8 +134,8 @@
 	peer *link.Peer
 }
 
-// call makes one call to the peer. It marks errors with store.ErrRefused or
-// store.ErrUnavailable.
+// call makes one call to the peer. If there is no reply, it marks the error with
+// store.ErrRefused when the call was not sent and with store.ErrUnavailable otherwise.
 func (s PeerStore) call(ctx context.Context, c *wire.StoreCall) (*wire.StoreReply, error) {
 	if deadline, ok := ctx.Deadline(); ok {
 		c.TimeoutMs = uint32(max(time.Until(deadline).Milliseconds(), 0))
@@ -226,79 +226,79 @@
 	self string // address of this entry
 	cfg  link.Config
 
-	mu         sync.Mutex
-	connByAddr map[string]*link.Peer
-	order      []string // addresses of the peers, in rotating order
+	mu            sync.Mutex
+	sessionByAddr map[string]*link.Peer
+	order         []string // addresses of the peers, in rotating order
 }
 
-// NewPool returns a set of peers that starts with the seeds.
+// NewPool returns a Pool that starts with the seeds.
 func NewPool(self string, cfg link.Config, seeds []string) *Pool {
-	r := &Pool{self: self, cfg: cfg, connByAddr: make(map[string]*link.Peer)}
-	r.Set(seeds)
-	return r
+	pool := &Pool{self: self, cfg: cfg, sessionByAddr: make(map[string]*link.Peer)}
+	pool.Set(seeds)
+	return pool
 }
 
 // Set replaces the known peers. Entries select different peers, so that the failure of one
 // peer does not affect all entries. The known peers stay if addrs contains no other
 // entry.
-func (r *Pool) Set(addrs []string) {
+func (pool *Pool) Set(addrs []string) {
 	var candidates []string
 	for _, a := range addrs {
-		if a != r.self && a != "" && !slices.Contains(candidates, a) {
+		if a != pool.self && a != "" && !slices.Contains(candidates, a) {
 			candidates = append(candidates, a)
 		}
 	}
 	if len(candidates) == 0 {
 		return
 	}
-	selected := routing.Top(candidates, routing.Score(r.self, 1), maxPeers)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.order = selected
-	for addr, p := range r.connByAddr {
+	selected := routing.Top(candidates, routing.Score(pool.self, 1), maxPeers)
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	pool.order = selected
+	for addr, p := range pool.sessionByAddr {
 		if !slices.Contains(selected, addr) {
 			p.Close()
-			delete(r.connByAddr, addr)
+			delete(pool.sessionByAddr, addr)
 		}
 	}
 }
 
 // Close closes the sessions with all peers.
-func (r *Pool) Close() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for addr, p := range r.connByAddr {
+func (pool *Pool) Close() {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
+	for addr, p := range pool.sessionByAddr {
 		p.Close()
-		delete(r.connByAddr, addr)
+		delete(pool.sessionByAddr, addr)
 	}
 }
 
-// connections returns the sessions with all peers, each of which dials on its first call.
-func (r *Pool) connections() []*link.Peer {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// sessions returns the sessions with all peers, each of which dials on its first call.
+func (pool *Pool) sessions() []*link.Peer {
+	pool.mu.Lock()
+	defer pool.mu.Unlock()
 	var out []*link.Peer
-	for _, addr := range r.order {
-		if r.connByAddr[addr] == nil {
-			r.connByAddr[addr] = link.NewPeer(r.cfg, addr)
+	for _, addr := range pool.order {
+		if pool.sessionByAddr[addr] == nil {
+			pool.sessionByAddr[addr] = link.NewPeer(pool.cfg, addr)
 		}
-		out = append(out, r.connByAddr[addr])
+		out = append(out, pool.sessionByAddr[addr])
 	}
 	return out
 }
 
 // StorePeers returns clients of the store through the peers. It rotates their order on each
 // call.
-func (r *Pool) StorePeers() []store.Peer {
+func (pool *Pool) StorePeers() []store.Peer {
 	var out []store.Peer
-	for _, p := range r.connections() {
+	for _, p := range pool.sessions() {
 		out = append(out, PeerStore{peer: p})
 	}
-	r.mu.Lock()
-	if len(r.order) > 1 {
-		r.order = append(r.order[1:], r.order[0])
+	pool.mu.Lock()
+	if len(pool.order) > 1 {
+		pool.order = append(pool.order[1:], pool.order[0])
 	}
-	r.mu.Unlock()
+	pool.mu.Unlock()
 	return out
 }
 
@@ -307,8 +307,8 @@
 
 // Fetch asks the peers in turn for their catalog and targets, until one returns them, and
 // imports these into view.
-func (r *Pool) Fetch(ctx context.Context, view *fleet.View) {
-	for _, p := range r.connections() {
+func (pool *Pool) Fetch(ctx context.Context, view *fleet.View) {
+	for _, p := range pool.sessions() {
 		callCtx, cancel := context.WithTimeout(ctx, fetchTimeout)
 		reply := &wire.CatalogReply{}
 		err := p.Call(callCtx, link.Control, &wire.Call{Kind: &wire.Call_Catalog{Catalog: &wire.CatalogFetch{}}}, reply)
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -43,7 +43,7 @@
 // fixture consists of a store and two entries connected by a pipe.
 type fixture struct {
 	store      *sharedstore.Store
-	helperView *fleet.View // view of the entry that serves calls
+	serverView *fleet.View // view of the entry that serves calls
 	pool       *peers.Pool // peers of the entry that makes calls
 }
 
@@ -58,15 +58,15 @@
 	runtime.GC()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		fx := &fixture{store: sharedstore.New(4), helperView: newView()}
-		server := &peers.Server{Store: fx.store.ClientFor("b"), View: fx.helperView}
+		fx := &fixture{store: sharedstore.New(4), serverView: newView()}
+		server := &peers.Server{Store: fx.store.ClientFor("b"), View: fx.serverView}
 		fx.pool = peers.NewPool("a:1", link.Config{Node: "a", Dial: func(_ context.Context, addr string) (net.Conn, error) {
 			if addr != "b:1" {
 				return nil, errors.New("connection refused: only b:1 listens")
 			}
-			near, far := net.Pipe()
-			go link.ServeConn(ctx, far, link.Config{Node: "b", Handle: server.Handle})
-			return near, nil
+			clientConn, serverConn := net.Pipe()
+			go link.ServeConn(ctx, serverConn, link.Config{Node: "b", Handle: server.Handle})
+			return clientConn, nil
 		}}, []string{"a:1", "b:1"})
 		defer func() {
 			fx.pool.Close()
@@ -120,7 +120,7 @@
 		short, stop := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer stop()
 		if _, err := client.Append(short, testPartition, recs, 1); !errors.Is(err, store.ErrUnavailable) {
-			t.Fatalf("append without an answer to the peer: got error %v, want ErrUnavailable", err)
+			t.Fatalf("append without a response to the peer: got error %v, want ErrUnavailable", err)
 		}
 	})
 }
@@ -145,26 +145,26 @@
 		if view.Ready() {
 			t.Fatal("view is ready before a peer has a catalog")
 		}
-		fx.helperView.CatalogSink().Reset([]store.Record{{Key: "c", Value: []byte("7")}})
-		fx.helperView.TargetSink().Reset([]store.Record{{Key: "i", Value: []byte("1:1")}})
+		fx.serverView.CatalogSink().Reset([]store.Record{{Key: "c", Value: []byte("7")}})
+		fx.serverView.TargetSink().Reset([]store.Record{{Key: "i", Value: []byte("1:1")}})
 		fx.pool.Fetch(ctx, view)
 		if !view.Ready() || view.Catalog().Version != 7 || len(view.Instances()) != 1 {
-			t.Fatalf("after fetch: got ready %v, targets %v", view.Ready(), view.Instances())
+			t.Fatalf("after fetch: got ready %v, targets %v, want true, catalog version 7 and one target", view.Ready(), view.Instances())
 		}
 	})
 }
 
 // Known peers stay when an update names no other entry, and an entry is not its own peer.
 func TestSetKeepsKnownPeers(t *testing.T) {
-	r := peers.NewPool("a:1", link.Config{Node: "a"}, []string{"b:1", "a:1", "b:1", ""})
-	defer r.Close()
-	r.Set(nil)
-	r.Set([]string{"a:1"})
-	if n := len(r.StorePeers()); n != 1 {
+	pool := peers.NewPool("a:1", link.Config{Node: "a"}, []string{"b:1", "a:1", "b:1", ""})
+	defer pool.Close()
+	pool.Set(nil)
+	pool.Set([]string{"a:1"})
+	if n := len(pool.StorePeers()); n != 1 {
 		t.Fatalf("got %d peers, want 1", n)
 	}
-	r.Set([]string{"b:1", "c:1", "d:1", "e:1", "f:1", "g:1"})
-	if n := len(r.StorePeers()); n != 4 {
+	pool.Set([]string{"b:1", "c:1", "d:1", "e:1", "f:1", "g:1"})
+	if n := len(pool.StorePeers()); n != 4 {
 		t.Fatalf("got %d peers from six addresses, want 4", n)
 	}
 }
