--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet holds a process's view of the fleet: the catalog in force, the
 // registered targets and their load. The view follows the shared store; while the store
-// does not answer, it can be filled from peers or from copies.
+// does not respond, it can be filled from peers or from copies.
 package fleet
 
 import (
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -66,7 +66,7 @@
 	v := newView()
 	fleet.NewCopies(s.ClientFor("b"), "copies", numPartitions, v, logging.Logger{}).Load(t.Context())
 	if !v.Ready() || v.Catalog().Version != 7 || len(v.Instances()) != 2 {
-		t.Fatalf("ready %v, %d targets", v.Ready(), len(v.Instances()))
+		t.Fatalf("got ready %v and %d targets, want true, catalog version 7 and 2 targets", v.Ready(), len(v.Instances()))
 	}
 }
 
@@ -108,14 +108,14 @@
 	v := filledView("9", "new")
 	fleet.NewCopies(s.ClientFor("b"), "copies", numPartitions, v, logging.Logger{}).Load(t.Context())
 	if got := v.Instances(); v.Catalog().Version != 9 || len(got) != 1 || got[0].ID != "new" {
-		t.Fatalf("version %d, targets %v", v.Catalog().Version, got)
+		t.Fatalf("got version %d, targets %v, want version 9 and only target new", v.Catalog().Version, got)
 	}
 	// The registry itself replaces targets loaded from a copy.
 	late := newView()
 	fleet.NewCopies(s.ClientFor("b"), "copies", numPartitions, late, logging.Logger{}).Load(t.Context())
 	late.TargetSink().Reset([]store.Record{{Key: "now", Value: []byte("now")}})
 	if got := late.Instances(); len(got) != 1 || got[0].ID != "now" {
-		t.Fatalf("targets %v", got)
+		t.Fatalf("got targets %v, want only target now", got)
 	}
 }
 
@@ -135,7 +135,7 @@
 	v := newView()
 	fleet.NewCopies(s.ClientFor("b"), "copies", numPartitions, v, logging.Logger{}).Load(t.Context())
 	if v.Catalog().Version != 8 {
-		t.Fatalf("version %d", v.Catalog().Version)
+		t.Fatalf("got version %d, want 8", v.Catalog().Version)
 	}
 }
 
@@ -145,7 +145,7 @@
 	v.CatalogSink().Apply(store.Record{Key: "c", Value: []byte("not a number")})
 	v.CatalogSink().Apply(store.Record{Key: "other", Value: []byte("99")})
 	if v.Catalog().Version != 3 {
-		t.Fatalf("version %d", v.Catalog().Version)
+		t.Fatalf("got version %d, want 3", v.Catalog().Version)
 	}
 }
 
@@ -175,7 +175,7 @@
 		{Key: "a", Value: []byte("10.0.0.1:1")}, {Key: "bad", Value: []byte(unreadableValue), Offset: 1}, {Key: "b", Value: []byte("10.0.0.2:1"), Offset: 2},
 	})
 	if got := v.Instances(); len(got) != 2 {
-		t.Fatalf("targets %v", got)
+		t.Fatalf("got targets %v, want 2", got)
 	}
 	v.TargetSink().Apply(store.Record{Key: "a", Value: []byte(unreadableValue), Offset: 3})
 	usable := func() (out []string) {
@@ -196,9 +196,10 @@
 }
 
 // Guards against late first events for seconds on the smallest hosts after a power loss of
-// all hosts. 180 targets register again at their addresses and the old registrations lapse,
-// all within a second. If each record is a change of its own, the whole registry is
-// compared, announced and logged for each one, in 360 log lines per host.
+// all hosts, although all targets are back. 180 targets register again at their addresses and
+// the old registrations lapse, all within a second. If each record is a change of its own,
+// each one compares the whole registry, notifies of the change and logs it, in 360 log lines
+// per host.
 func TestAppliesRecordBatchAsOneChange(t *testing.T) {
 	const count = 180
 	var ids []string
@@ -234,6 +235,6 @@
 	}
 	v.TargetSink().Apply(heartbeats...)
 	if notified != 1 {
-		t.Error("heartbeats were announced as a change")
+		t.Error("notified of heartbeats as a change")
 	}
 }
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -23,8 +23,8 @@
 }
 
 // Apply implements store.Sink. It applies all records as one change: when all targets
-// of a large fleet restart, comparing, announcing and logging the whole registry for each
-// record keeps the smallest hosts busy for seconds.
+// of a large fleet restart, comparing the whole registry, notifying of the change and logging
+// it for each record keeps the smallest hosts busy for seconds.
 func (s targetSink) Apply(recs ...store.Record) {
 	v := s.v
 	updates := make([]registryUpdate, 0, len(recs))
@@ -201,19 +201,19 @@
 		v.log.Info("target restarted", logging.F("instance", in.ID), logging.F("addr", in.Addr),
 			logging.F("born", in.StartedUnixMs), logging.F("before", was.StartedUnixMs))
 	case in.Superseded && !was.Superseded:
-		v.log.Info("target registration superseded by another instance", logging.F("instance", in.ID), logging.F("addr", in.Addr))
+		v.log.Info("target registration superseded or unreadable", logging.F("instance", in.ID), logging.F("addr", in.Addr))
 	case in.Draining && !was.Draining:
 		v.log.Info("target is leaving", logging.F("instance", in.ID), logging.F("seq", in.Seq))
 	}
 }
 
-// MarkSuperseded marks an instance as replaced because another one answered at its address.
+// MarkSuperseded marks an instance as replaced because another one responded at its address.
 // Registrations of dead targets remain in the registry for seconds.
 func (v *View) MarkSuperseded(id string) {
 	v.updateTargets(func() { v.set.Supersede(id) })
 }
 
-// RegistryUnavailable records that the registry does not answer.
+// RegistryUnavailable records that the registry does not respond.
 func (v *View) RegistryUnavailable(error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -221,7 +221,7 @@
 	v.metrics.Count("registry_failures")
 }
 
-// RegistryRecovered records that the registry answers again after an outage.
+// RegistryRecovered records that the registry responds again after an outage.
 func (v *View) RegistryRecovered(outage time.Duration) {
 	v.mu.Lock()
 	v.set.RegistryUp(time.Now())
