--- a/jobroute/jobroute.go
+++ b/jobroute/jobroute.go
@@ -4,10 +4,10 @@
 // Every process can serve such a call itself by following the partition on the shared
 // store. Since callers connect to any process, every process would then follow every
 // partition, and each result would be read once per process. A call is therefore forwarded
-// to the owner. If the owner does not answer, the call goes to the partition's backup,
+// to the owner. If the owner does not reply, the call goes to the partition's backup,
 // which is one other process and the same for all callers. Only if the backup does not
-// answer either does this process follow the partition. Ownership comes from the store's
-// group and may be out of date, so the called process answers from the partition's state
+// reply either does this process follow the partition. Ownership comes from the store's
+// group and may be out of date, so the called process replies from the partition's state
 // and never relies on being its owner.
 package jobroute
 
@@ -65,7 +65,7 @@
 	// takes about 10 ms, or 100 ms to accept a job while two processes race to append to
 	// the partition. The rest of a caller's 500 ms is enough to serve the call locally.
 	callTimeout = 300 * time.Millisecond
-	// avoidDuration is how long no calls are sent to a process that did not answer. The
+	// avoidDuration is how long no calls are sent to a process that did not reply. The
 	// group takes 1.6 s to reassign its partitions.
 	avoidDuration = 2 * time.Second
 )
@@ -156,7 +156,7 @@
 
 // forward sends a call to the candidates in turn, at first with the given timeout and then
 // with callTimeout. ok is false if the call has to be served locally. sent reports that a
-// process which did not answer may have executed the call, whatever the outcome elsewhere
+// process which did not reply may have executed the call, whatever the outcome elsewhere
 // or here.
 func (r *Router) forward(ctx context.Context, job string, timeout time.Duration, call *wire.JobCall) (reply *wire.JobReply, sent, ok bool) {
 	addrs, local := r.candidates(job)
@@ -184,7 +184,7 @@
 	return nil, sent, false
 }
 
-// forwardTo sends a call to one process. ok is false if the process did not answer or
+// forwardTo sends a call to one process. ok is false if the process did not reply or
 // declined; sent then reports that it may have executed the call nevertheless.
 func (r *Router) forwardTo(ctx context.Context, job, addr string, timeout time.Duration, call *wire.JobCall) (reply *wire.JobReply, sent, ok bool) {
 	start := time.Now()
@@ -199,8 +199,8 @@
 		r.cfg.Metrics.Count("job_call_passed_on")
 		return reply, false, true
 	}
-	var dial *link.DialError
-	sent = !errors.As(err, &dial) && !errors.Is(err, errDeclined)
+	var dialErr *link.DialError
+	sent = !errors.As(err, &dialErr) && !errors.Is(err, errDeclined)
 	if ctx.Err() != nil {
 		// The caller disconnected or timed out, which is no failure of the called process.
 		return nil, sent, false
@@ -215,7 +215,7 @@
 }
 
 // Accept implements Service. Accepting a job is idempotent, so the call is served locally
-// if no other process answers.
+// if no other process replies.
 func (r *Router) Accept(ctx context.Context, spec *wire.JobSpec) error {
 	call := &wire.JobCall{Kind: &wire.JobCall_Accept{Accept: spec}}
 	return r.forwardWrite(ctx, spec.GetId(), call, func() error { return r.cfg.Local.Accept(ctx, spec) })
@@ -228,7 +228,7 @@
 }
 
 // forwardWrite forwards a call that writes, and calls serveLocal if no other process
-// answers.
+// replies.
 func (r *Router) forwardWrite(ctx context.Context, job string, call *wire.JobCall, serveLocal func() error) error {
 	reply, sent, ok := r.forward(ctx, job, callTimeout, call)
 	if ok {
--- a/jobroute/jobroute_test.go
+++ b/jobroute/jobroute_test.go
@@ -37,14 +37,14 @@
 	calls  atomic.Int32 // received
 }
 
-// callMode is how a process responds to calls.
+// callMode is how a process handles calls.
 type callMode = int32
 
 const (
 	serving          callMode = iota
 	unreachable               // connections fail
-	unresponsive              // calls are received and not answered
-	responseLost              // calls are executed and their responses lost
+	unresponsive              // calls are received and get no reply
+	replyLost                 // calls are executed and their replies lost
 	storeUnreachable          // the process cannot reach the store
 )
 
@@ -62,7 +62,7 @@
 	case unresponsive:
 		<-ctx.Done()
 		return nil, ctx.Err()
-	case responseLost:
+	case replyLost:
 		p.server.Serve(ctx, call)
 		return nil, errConnectionLost
 	case serving, storeUnreachable:
@@ -115,11 +115,11 @@
 	}
 }
 
-// Guards against every process following each partition whose jobs it is asked about, while
-// callers submit and read jobs at any process several times a second. With 133 processes
-// each link then carried the results of the whole fleet, and the store served 4,400 calls
-// per second for 118 items. Here 40 processes are asked about 16 jobs, for which the store
-// gets 72 calls.
+// Guards against every process following each partition for whose jobs it receives calls,
+// while callers submit and read jobs at any process several times a second. With 133
+// processes each link then carried the results of the whole fleet, and the store served
+// 4,400 calls per second for 118 items. Here callers read 16 jobs at 40 processes, for which
+// the store receives 72 calls.
 func TestReadersDoNotFollowPartitions(t *testing.T) {
 	runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
 		all := startProcesses(ctx, s, 40)
@@ -157,11 +157,11 @@
 }
 
 // Guards against jobs of a failed owner's partitions, a third of all, being refused or
-// delayed past their deadline because only the owner is asked. The owner is unreachable or
-// unresponsive, its responses are lost or it cannot reach the store, and the group still
+// delayed past their deadline because only the owner is called. The owner is unreachable or
+// unresponsive, its replies are lost or it cannot reach the store, and the group still
 // lists it.
 func TestServesJobLocallyWithoutItsOwner(t *testing.T) {
-	for _, mode := range []callMode{unreachable, unresponsive, responseLost, storeUnreachable} {
+	for _, mode := range []callMode{unreachable, unresponsive, replyLost, storeUnreachable} {
 		runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
 			all := startProcesses(ctx, s, 2)
 			owner, other := all[0], all[1]
@@ -184,17 +184,17 @@
 			time.Sleep(3 * time.Second)
 			owner.mode.Store(serving)
 			if _, err := other.router.Results(ctx, "job", 0, 0); err != nil || owner.calls.Load() == calls {
-				t.Errorf("mode %d: recovered owner not called again, %v", mode, err)
+				t.Errorf("mode %d: recovered owner not called again or call failed: %v", mode, err)
 			}
 		})
 	}
 }
 
 // Guards against telling a caller that a job will not run although it may. The job is
-// forwarded and accepted, the response is lost, and the store then refuses the write of this
+// forwarded and accepted, the reply is lost, and the store then refuses the write of this
 // process, which by itself has written nothing.
-func TestReportsUnknownEffectOnlyAfterLostResponse(t *testing.T) {
-	for _, mode := range []callMode{unreachable, responseLost, storeUnreachable} {
+func TestReportsUnknownEffectOnlyAfterLostReply(t *testing.T) {
+	for _, mode := range []callMode{unreachable, replyLost, storeUnreachable} {
 		runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
 			all := startProcesses(ctx, s, 2)
 			all[0].mode.Store(mode)
@@ -203,7 +203,7 @@
 			if err == nil {
 				t.Fatal("job accepted although the store refuses calls")
 			}
-			mayRun := mode == responseLost
+			mayRun := mode == replyLost
 			if errors.Is(err, jobstore.ErrOutcomeUnknown) != mayRun {
 				t.Errorf("mode %d: %v", mode, err)
 			}
@@ -211,11 +211,11 @@
 	}
 }
 
-// Guards against the same fault by way of the backup. The owner accepts the job and its
-// response is lost; the store refuses the backup, whose reply that it has written nothing
+// Guards against the same fault when the backup replies. The owner accepts the job and its
+// reply is lost; the store refuses the backup, whose reply that it has written nothing
 // is true of the backup only, not of the whole call.
 func TestBackupRefusalKeepsUnknownEffect(t *testing.T) {
-	for _, mode := range []callMode{unreachable, responseLost} {
+	for _, mode := range []callMode{unreachable, replyLost} {
 		runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
 			all := startProcesses(ctx, s, 12)
 			spreadPartitions(all)
@@ -229,7 +229,7 @@
 			accept := all[11].router.Accept(ctx, newSpec("job"))
 			end := all[11].router.End(ctx, "job")
 			for what, err := range map[string]error{"accept": accept, "end": end} {
-				mayRun := mode == responseLost && what == "accept"
+				mayRun := mode == replyLost && what == "accept"
 				if err == nil || errors.Is(err, jobstore.ErrOutcomeUnknown) != mayRun {
 					t.Errorf("mode %d, %s: %v", mode, what, err)
 				}
@@ -262,15 +262,15 @@
 		for n := range numPartitions {
 			s.SetPartitionDown(store.Partition{Topic: topic, Number: n}, true)
 		}
-		var away *jobstore.UnavailableError
-		if err := r.Accept(ctx, newSpec("late")); !errors.As(err, &away) || away.RetryAfter <= 0 || errors.Is(err, jobstore.ErrOutcomeUnknown) {
+		var unavailable *jobstore.UnavailableError
+		if err := r.Accept(ctx, newSpec("late")); !errors.As(err, &unavailable) || unavailable.RetryAfter <= 0 || errors.Is(err, jobstore.ErrOutcomeUnknown) {
 			t.Errorf("store unavailable: %v", err)
 		}
 	})
 }
 
 // Guards against results being withheld during an outage of the store although the owner has
-// them. A job is complete, the store stops answering all processes, and callers read at
+// them. A job is complete, the store stops responding to all processes, and callers read at
 // processes that do not follow the partition. A process that cannot reach the store must
 // still serve the results that it knows.
 func TestServesKnownResultsDuringOutage(t *testing.T) {
@@ -292,14 +292,14 @@
 			t.Errorf("got results %+v, %v", res, err)
 		}
 		if err := other.router.Accept(ctx, newSpec("next")); !errors.Is(err, jobstore.ErrStoreUnavailable) && !errors.Is(err, jobstore.ErrOutcomeUnknown) {
-			t.Errorf("accept while the store does not answer: %v", err)
+			t.Errorf("accept while the store does not respond: %v", err)
 		}
 	})
 }
 
 // Guards against results being withheld although this process reaches the store. Only the
 // owner is cut off from the store and has no result at the requested position; its reply
-// UNSURE must not be the final answer.
+// UNSURE must not be passed to the caller.
 func TestUnsureReplyIsResolvedLocally(t *testing.T) {
 	runInBubble(t, func(ctx context.Context, t *testing.T, s *sharedstore.Store) {
 		all := startProcesses(ctx, s, 3)
@@ -321,9 +321,9 @@
 
 // Guards against an overload of the store that outlasts an outage: 10 s after it, and
 // again 30 s later, no process could read a job. All processes lose the store while callers
-// keep reading jobs at all of them; the store returns with a limited rate. If each called process follows
-// the partition because the owner is unsure, together they read more than the store serves,
-// the owner is throttled as well, and none of them stops.
+// keep reading jobs at all of them; the store returns with a limited rate. If each called
+// process follows the partition because the owner is unsure, together they read more than
+// the store serves, the owner's reads are refused as well, and none of them stops.
 func TestReadersDoNotOverloadStoreAfterOutage(t *testing.T) {
 	const (
 		processes      = 40
@@ -514,7 +514,7 @@
 		owner.mode.Store(serving)
 		calls := owner.calls.Load()
 		if _, err := other.router.Results(ctx, "job", 0, 0); err != nil || owner.calls.Load() == calls {
-			t.Errorf("healthy owner is avoided, %v", err)
+			t.Errorf("healthy owner is avoided or call failed: %v", err)
 		}
 	})
 }
--- a/jobroute/reply.go
+++ b/jobroute/reply.go
@@ -14,8 +14,8 @@
 type Server struct {
 	Local            Local
 	StoreUnavailable func() bool // reports whether this process cannot reach the store at all
-	// Reaches reports whether this process reaches the store directly. While it does not,
-	// it declines writes, which the calling process may be able to do itself. It still
+	// HasDirectStore reports whether this process reaches the store directly. While it does
+	// not, it declines writes, which the calling process may be able to do itself. It still
 	// serves results that it knows, since during an outage no other process may have them.
 	HasDirectStore func() bool
 }
@@ -90,9 +90,9 @@
 // encodeReply returns a reply with the outcome that err stands for, and without results.
 func encodeReply(err error) *wire.JobReply {
 	out := &wire.JobReply{Outcome: encodeOutcome(err)}
-	var away *jobstore.UnavailableError
-	if errors.As(err, &away) {
-		out.Away, out.ComeBackMs = true, uint32(away.RetryAfter.Milliseconds())
+	var unavailable *jobstore.UnavailableError
+	if errors.As(err, &unavailable) {
+		out.Away, out.ComeBackMs = true, uint32(unavailable.RetryAfter.Milliseconds())
 	}
 	return out
 }
