--- a/link/link.go
+++ b/link/link.go
@@ -59,14 +59,14 @@
 	HeartbeatTimeout time.Duration
 	DialTimeout      time.Duration // default 2 s
 
-	// Status returns the status of this node, which heartbeats carry.
+	// Status returns the status of this node, which heartbeats on control sessions carry.
 	Status func() *wire.NodeStatus
 	// OnStatus is called with the status of a peer at each heartbeat on a control
 	// session; a nil status means unchanged. The address is empty for a peer that
 	// dialled this node.
 	OnStatus func(addr string, st *wire.NodeStatus)
 	// OnDisconnect is called with the address of a peer whose session, held open by
-	// Peer.Keep, was lost or cannot be dialled.
+	// Peer.KeepConnected, was lost or cannot be dialled.
 	OnDisconnect func(addr string)
 	// Handle serves a stream that the peer opened. If it is nil, the stream is closed.
 	Handle Handler
