--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -24,8 +24,8 @@
 	"pumiceford/settings"
 )
 
-// defaultHarm is the tolerated slowdown of an engine step by batch work while online
-// requests run, as a fraction, until a policy is in force.
+// defaultHarm is the largest relative increase of the engine's step time that batch work may
+// cause while online requests run. It applies until a policy is in force.
 const defaultHarm = 0.05
 
 // RunAgent runs pumice-agent until stop ends, then shuts it down gracefully.
--- a/daemon/background.go
+++ b/daemon/background.go
@@ -20,13 +20,13 @@
 	n.config.Run(ctx)
 }
 
-func (n *entryNode) storeFailed(what string, err error) {
+func (n *entryNode) storeFailed(source string, err error) {
 	n.metrics.Count("store_failures")
-	n.log.Warn("store does not answer; what is known stays in force", logging.F("read", what), logging.F("error", err.Error()))
+	n.log.Warn("store does not answer; what is known stays in force", logging.F("read", source), logging.F("error", err.Error()))
 }
 
-func (n *entryNode) storeRecovered(what string, away time.Duration) {
-	n.log.Info("store answers again", logging.F("read", what), logging.F("away_ms", away.Milliseconds()))
+func (n *entryNode) storeRecovered(source string, outage time.Duration) {
+	n.log.Info("store answers again", logging.F("read", source), logging.F("away_ms", outage.Milliseconds()))
 }
 
 // watchPeers keeps the list of the other entries up to date from the group, and fetches
@@ -35,7 +35,7 @@
 	next := time.Time{}
 	for ctx.Err() == nil {
 		if !n.view.Ready() {
-			n.ring.Fetch(ctx, n.view)
+			n.peerPool.Fetch(ctx, n.view)
 		}
 		if now := time.Now(); now.After(next) {
 			next = now.Add(ownersInterval)
@@ -72,7 +72,7 @@
 	for _, o := range owners {
 		addrs = append(addrs, o.Member)
 	}
-	n.ring.Set(append(addrs, n.set.Seeds...))
+	n.peerPool.Set(append(addrs, n.set.Seeds...))
 }
 
 // expireTargets drops lapsed targets from the view and updates the gauges until ctx ends.
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -71,7 +71,7 @@
 		})
 		_ = srv.Close() // closes connections that a test left open
 		if err := <-served; !errors.Is(err, net.ErrClosed) && !errors.Is(err, http.ErrServerClosed) {
-			t.Errorf("Serve returned %v", err)
+			t.Errorf("Serve returned %v, want net.ErrClosed or http.ErrServerClosed", err)
 		}
 	})
 }
@@ -119,7 +119,7 @@
 			t.Fatalf("connection closed before the request was complete: %v", err)
 		}
 		if got := readResponse(t, c); got != "whole" {
-			t.Fatalf("got an unexpected response body %q", got)
+			t.Fatalf("got response body %q, want \"whole\"", got)
 		}
 		if err := <-drained; err != nil {
 			t.Fatal(err)
@@ -139,7 +139,7 @@
 			c := ln.dial()
 			sendRequest(t, c)
 			if got := readResponse(t, c); got != "whole" {
-				t.Fatalf("got an unexpected response body %q", got)
+				t.Fatalf("got response body %q, want \"whole\"", got)
 			}
 			conns = append(conns, c)
 		}
@@ -151,7 +151,7 @@
 				break // closed while it was idle
 			}
 			if got := readResponse(t, c); got != "whole" {
-				t.Fatalf("got an unexpected response body %q", got)
+				t.Fatalf("got response body %q, want \"whole\"", got)
 			}
 		}
 		if err := <-drained; err != nil {
@@ -167,7 +167,7 @@
 		c := ln.dial()
 		sendRequest(t, c)
 		if got := readResponse(t, c); got != "whole" {
-			t.Fatalf("got an unexpected response body %q", got)
+			t.Fatalf("got response body %q, want \"whole\"", got)
 		}
 		start := time.Now()
 		if err := drain(5 * time.Second); err != nil || time.Since(start) > time.Second {
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -62,9 +62,9 @@
 	Sender          TargetSender
 	// ItemHeader converts the headers of a batch item to the headers of its call.
 	ItemHeader func(item map[string]string) map[string][]string
-	// Front returns the handler of the callers' listener.
+	// FrontHandler returns the handler of the callers' listener.
 	FrontHandler func(f FrontConfig) http.Handler
-	// Ready returns the handler of the readiness probe.
+	// ReadyHandler returns the handler of the readiness probe, which calls ready.
 	ReadyHandler func(ready func() bool) http.Handler
 }
 
@@ -83,7 +83,7 @@
 const (
 	// storeReadWait is how long a read of the configuration or the registry waits for
 	// records. A change has to be in force within 2 s even if the connection of a read
-	// stops answering.
+	// stops delivering data.
 	storeReadWait = 2 * time.Second
 	// registryPause is the delay after a read of the registry that returned records. It
 	// batches heartbeats: with nine targets it reduces eight reads a second to three.
@@ -114,7 +114,8 @@
 	logFlushTimeout = 200 * time.Millisecond
 	// headerTimeout, idleTimeout and maxHeaderBytes bound a connection whatever operators
 	// set. They exceed the limits in the catalog, which the callers' handler enforces. A
-	// server that closed idle connections sooner would race with requests arriving on them.
+	// server that closed idle connections sooner than those limits allow would race with
+	// requests arriving on them.
 	headerTimeout   = 15 * time.Second
 	idleTimeout     = 2 * time.Minute
 	maxHeaderBytes  = 256 << 10
@@ -129,7 +130,7 @@
 	log        logging.Logger
 	metrics    *metrics.Set
 	view       *fleet.View
-	ring       *peers.Pool
+	peerPool   *peers.Pool
 	store      *store.Failover
 	jobs       *jobstore.Store
 	routes     *jobroute.Router
@@ -161,7 +162,7 @@
 	if err != nil {
 		return err
 	}
-	defer n.ring.Close()
+	defer n.peerPool.Close()
 	return n.run(ctx, cancel, stop, reloads, file)
 }
 
@@ -178,8 +179,8 @@
 	n := &entryNode{set: set, deps: deps, tlsConf: tlsConf, log: base.WithPrefix("entry"), metrics: ms}
 	n.view = fleet.NewView(deps.Decoder, xxhash.Sum64String(set.Name), base.WithPrefix("fleet"), n.metrics)
 	linkCfg := link.Config{Node: set.Name, Incarnation: oplog.NewIncarnation(), TLS: tlsConf, Dial: netx.Dial}
-	n.ring = peers.NewPool(set.Peers, linkCfg, set.Seeds)
-	n.store = store.NewFailover(deps.Store, n.ring.StorePeers)
+	n.peerPool = peers.NewPool(set.Peers, linkCfg, set.Seeds)
+	n.store = store.NewFailover(deps.Store, n.peerPool.StorePeers)
 	n.config = store.NewFollower(n.store, deps.Catalog, n.view.CatalogSink(), store.FollowerConfig{
 		Wait: configReadWait(set), Clock: boottime.Now,
 		OnFailure:  func(err error) { n.storeFailed("configuration", err) },
@@ -292,7 +293,7 @@
 	if err := settings.Load(file, &set); err != nil {
 		return err
 	}
-	n.ring.Set(set.Seeds)
+	n.peerPool.Set(set.Seeds)
 	n.log.Info("settings reloaded", logging.F("seeds", len(set.Seeds)))
 	return nil
 }
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -14,11 +14,11 @@
 	"pumiceford/store"
 )
 
-// shardLease is how long a process may act as owner of its shards without contact to the
+// shardLease is how long a process may act as owner of its shards without contact with the
 // store. A shorter store outage has no effect on rate limits.
 const shardLease = 4500 * time.Millisecond
 
-// setUpRateLimits creates the shard keeper, the granter and the limiter, which enforce the
+// setUpRateLimits creates the shard manager, the granter and the limiter, which enforce the
 // rate limits of workspaces. They do nothing while no workspace has a limit.
 func (n *entryNode) setUpRateLimits(cfg link.Config, out logging.Logger) {
 	grants := peers.NewGrantClient(cfg)
--- a/daemon/process.go
+++ b/daemon/process.go
@@ -75,9 +75,9 @@
 }
 
 // opsHandler serves the metrics of a process and its quarantined requests.
-func opsHandler(ms *metrics.Set, k *quarantine.Tracker) *http.ServeMux {
+func opsHandler(ms *metrics.Set, tracker *quarantine.Tracker) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(ms.Registry, promhttp.HandlerOpts{}))
-	quarantineHandler(mux, k)
+	quarantineHandler(mux, tracker)
 	return mux
 }
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -18,10 +18,10 @@
 
 // quarantineHandler registers the endpoints that list the requests to which crashes are
 // attributed, and that clear one of them.
-func quarantineHandler(mux *http.ServeMux, k *quarantine.Tracker) {
+func quarantineHandler(mux *http.ServeMux, tracker *quarantine.Tracker) {
 	mux.HandleFunc("GET /quarantine", func(w http.ResponseWriter, _ *http.Request) {
 		all := []SuspectRequest{}
-		for _, c := range k.Suspects() {
+		for _, c := range tracker.Suspects() {
 			r := SuspectRequest{Key: c.Key.String(), Held: c.Held, Until: c.Until}
 			for _, m := range c.Crashes {
 				r.Crashed = append(r.Crashed, m.Target.ID)
@@ -36,7 +36,7 @@
 		switch {
 		case err != nil:
 			http.Error(w, err.Error(), http.StatusBadRequest)
-		case !k.Clear(key):
+		case !tracker.Clear(key):
 			http.Error(w, "nothing counts against this request", http.StatusNotFound)
 		default:
 			w.WriteHeader(http.StatusNoContent)
--- a/daemon/quarantine_test.go
+++ b/daemon/quarantine_test.go
@@ -21,12 +21,12 @@
 // key is answered with 400, a key without a record with 404.
 func TestListAndClearHeldRequests(t *testing.T) {
 	ms := metrics.New("n")
-	k := quarantine.NewTracker(quarantine.Config{Prober: crashedProber{}, Metrics: ms})
+	tracker := quarantine.NewTracker(quarantine.Config{Prober: crashedProber{}, Metrics: ms})
 	key := quarantine.NewKey("", "POST", "h", "/", nil)
 	for _, id := range []string{"a", "b", "c"} {
-		k.RecordBroken(t.Context(), quarantine.Run{Key: key, Target: targets.Instance{ID: id}})
+		tracker.RecordBroken(t.Context(), quarantine.Run{Key: key, Target: targets.Instance{ID: id}})
 	}
-	h := opsHandler(ms, k)
+	h := opsHandler(ms, tracker)
 	call := func(method, path string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(method, path, nil))
@@ -51,7 +51,7 @@
 			t.Errorf("DELETE %s: status %d, want %d", c.path, w.Code, c.want)
 		}
 	}
-	if _, held := k.Held(key); held {
+	if _, held := tracker.Held(key); held {
 		t.Error("request is still held after it was cleared")
 	}
 }
--- a/daemon/seatagent.go
+++ b/daemon/seatagent.go
@@ -18,7 +18,7 @@
 )
 
 // RunSeatAgent runs an agent beside a target until stop ends.
-func RunSeatAgent(stop context.Context, reloads <-chan os.Signal, file string, set *settings.SeatAgent, gauge seats.LoadSource) error {
+func RunSeatAgent(stop context.Context, reloads <-chan os.Signal, file string, set *settings.SeatAgent, source seats.LoadSource) error {
 	tlsConf, err := set.TLS.Config()
 	if err != nil {
 		return err
@@ -35,7 +35,7 @@
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
 	ms := metrics.New(set.Name)
-	a := seats.NewAgent(seats.AgentConfig{Name: set.Name, LoadSource: gauge, Log: log, Metrics: ms})
+	a := seats.NewAgent(seats.AgentConfig{Name: set.Name, LoadSource: source, Log: log, Metrics: ms})
 	tracker := quarantine.NewTracker(quarantine.Config{Log: log.WithPrefix("quarantine"), Metrics: ms})
 	handle := func(ctx context.Context, class link.Class, call *wire.Call, st *link.Stream) {
 		if call.GetMarks() != nil {
