--- a/balance/balance.go
+++ b/balance/balance.go
@@ -236,7 +236,7 @@
 // request there without a response is then waiting for a slot.
 func (t *Table) Alive(now time.Time, id string) bool {
 	v := t.views[id]
-	return v != nil && !v.reportedAt.IsZero() && now.Sub(v.reportedAt) <= aliveReportAge && !v.report.Silent
+	return v != nil && !v.reportedAt.IsZero() && now.Sub(v.reportedAt) <= aliveReportAge && !v.report.Unresponsive
 }
 
 // CountInService returns the number of targets of a service that are neither draining nor
@@ -257,11 +257,11 @@
 	return v != nil && v.reported(now) && v.Free(now) > 0
 }
 
-// Silent reports whether a target's agent currently reports that the target does not
+// Unresponsive reports whether a target's agent currently reports that the target does not
 // respond.
-func (t *Table) Silent(now time.Time, id string) bool {
+func (t *Table) Unresponsive(now time.Time, id string) bool {
 	v := t.views[id]
-	return v != nil && v.reported(now) && v.report.Silent
+	return v != nil && v.reported(now) && v.report.Unresponsive
 }
 
 // aliveReportAge is the maximum age of a report that shows that the target responds. It is
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -344,7 +344,7 @@
 	tab := balance.NewTable(0)
 	tab.Replace(instances(3, 2))
 	for i := range 3 {
-		tab.UpdateLoad(start, fmt.Sprint("i", i), balance.Report{Slots: 2, Silent: true})
+		tab.UpdateLoad(start, fmt.Sprint("i", i), balance.Report{Slots: 2, Unresponsive: true})
 	}
 	if _, ok := tab.Pick(start, "s", nil, 0.5); !ok {
 		t.Fatal("Pick chose no target although all are only suspect")
--- a/balance/batchtargets.go
+++ b/balance/batchtargets.go
@@ -33,7 +33,7 @@
 func (t *Table) batchTargets(now time.Time, service string, urgent bool) []BatchTarget {
 	var out []BatchTarget
 	for _, v := range t.views {
-		if !v.eligible(now, service, nil, false) || !v.reported(now) || v.report.Silent {
+		if !v.eligible(now, service, nil, false) || !v.reported(now) || v.report.Unresponsive {
 			continue
 		}
 		seats := v.report.FreeSeats
--- a/balance/suspect.go
+++ b/balance/suspect.go
@@ -25,5 +25,5 @@
 	if v.reportedAt.IsZero() {
 		return false // a new target without a report from its agent yet
 	}
-	return now.Sub(v.reportedAt) > aliveReportAge || v.report.Silent || v.report.FailingEntries >= minFailingEntries
+	return now.Sub(v.reportedAt) > aliveReportAge || v.report.Unresponsive || v.report.FailingEntries >= minFailingEntries
 }
--- a/balance/view.go
+++ b/balance/view.go
@@ -29,7 +29,7 @@
 	FreeSeats   int // seats that batch work can get
 	UrgentSeats int // further seats for items that are due soon
 	// Silent says that the target does not respond to its agent.
-	Silent bool
+	Unresponsive bool
 	// FailingEntries is the number of entries that recently reported failures to the agent.
 	FailingEntries int
 }
--- a/daemon/agentlinks.go
+++ b/daemon/agentlinks.go
@@ -125,5 +125,5 @@
 // loadReport converts an agent's load message to a balance.Report.
 func loadReport(l *wire.Load) balance.Report {
 	return balance.Report{Active: int(l.GetActive()), Queued: int(l.GetQueued()), Batch: int(l.GetBatch()), Slots: int(l.GetSlots()),
-		FreeSeats: int(l.GetRoom()), UrgentSeats: int(l.GetSpare()), Silent: l.GetSilent(), FailingEntries: int(l.GetWitnesses())}
+		FreeSeats: int(l.GetRoom()), UrgentSeats: int(l.GetSpare()), Unresponsive: l.GetSilent(), FailingEntries: int(l.GetWitnesses())}
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -583,7 +583,7 @@
 			time.Sleep(20 * time.Millisecond)
 			f.view.WithTable(func(tab *balance.Table) {
 				for _, id := range []string{"i0", "i1"} {
-					tab.UpdateLoad(time.Now(), id, balance.Report{Silent: id == f.sender.firstTarget()})
+					tab.UpdateLoad(time.Now(), id, balance.Report{Unresponsive: id == f.sender.firstTarget()})
 				}
 			})
 		}()
--- a/gateway/waiting.go
+++ b/gateway/waiting.go
@@ -70,7 +70,7 @@
 // reportedUnresponsive reports whether a target's agent reports that the target does not
 // respond.
 func (s *requestState) reportedUnresponsive(in targets.Instance) (unresponsive bool) {
-	s.g.view.WithTable(func(t *balance.Table) { unresponsive = t.Silent(time.Now(), in.ID) })
+	s.g.view.WithTable(func(t *balance.Table) { unresponsive = t.Unresponsive(time.Now(), in.ID) })
 	return unresponsive
 }
 
