--- a/entry/api.go
+++ b/entry/api.go
@@ -24,7 +24,7 @@
 
 // Limits of callers' requests.
 const (
-	MaxCallerBodyBytes = 256 << 20 // bytes, for a batch file; MaxPromptBytes limits other bodies
+	MaxCallerBodyBytes = 256 << 20 // for a batch file; MaxPromptBytes limits other bodies
 	MaxPromptBytes     = 1 << 20
 	MaxKeyBytes        = 256
 	defaultTimeout     = 60 * time.Second
@@ -68,8 +68,8 @@
 // callerHandler handles a request of an authenticated workspace.
 type callerHandler func(ctx context.Context, c *app.RequestContext, ws config.Workspace) error
 
-// handleCaller wraps fn: it counts the request as in flight, authenticates its
-// bearer key and writes errors as responses.
+// handleCaller wraps fn: it counts the request as in flight, authenticates its bearer key and
+// writes errors as responses.
 func (e *Entry) handleCaller(fn callerHandler) app.HandlerFunc {
 	return func(ctx context.Context, c *app.RequestContext) {
 		defer e.beginRequest()()
@@ -109,8 +109,7 @@
 	return ws, nil
 }
 
-// errorBody is the JSON body of every error response, in the format of the OpenAI
-// API.
+// errorBody is the JSON body of every error response, in the format of the OpenAI API.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
--- a/entry/api_batch.go
+++ b/entry/api_batch.go
@@ -50,7 +50,8 @@
 	h.POST("/v1/batches/:id/cancel", e.handleCaller(e.serveCancel))
 }
 
-func (w *completionWriter) batchReply(line *wire.ResultLine) completionReply {
+// newItemReply returns the response body of one succeeded batch item.
+func (w *completionWriter) newItemReply(line *wire.ResultLine) completionReply {
 	finish := "length"
 	text := string(line.GetText())
 	choice := completionChoice{FinishReason: &finish}
@@ -211,8 +212,8 @@
 	Failed    uint32 `json:"failed"`
 }
 
-// newBatchReply returns the JSON object of a job. If inputID is empty, it is
-// derived from the job.
+// newBatchReply returns the JSON object of a job. If inputID is empty, the ID of the input
+// file is derived from the job.
 func newBatchReply(ref objectRef, j *wire.JobInfo, inputID string) batchReply {
 	if inputID == "" {
 		inputID = prefixFile + objectRef{partition: j.GetPartition(), id: j.GetFile()}.String()
--- a/entry/api_completion.go
+++ b/entry/api_completion.go
@@ -112,8 +112,8 @@
 		return err
 	}
 	if err != nil {
-		// The status line has been sent. An error event without a following [DONE]
-		// tells the caller that the response is incomplete.
+		// The status line has been sent. An error event without a following [DONE] marks
+		// the response as incomplete.
 		_, body := newErrorBody(err)
 		_ = w.writeEvent(body)
 		return nil
@@ -135,8 +135,8 @@
 	return w.writeEvent(w.newReply(true, choice))
 }
 
-func (w *completionWriter) writeEnd(writeEnd *wire.End, tokens uint32) {
-	finish := writeEnd.GetFinishReason()
+func (w *completionWriter) writeEnd(end *wire.End, tokens uint32) {
+	finish := end.GetFinishReason()
 	choice := completionChoice{FinishReason: &finish}
 	empty := ""
 	if w.chat {
@@ -144,12 +144,12 @@
 	} else {
 		choice.Text = &empty
 	}
-	// Write errors are ignored: a caller that has disconnected by now already got
-	// the whole text.
+	// Write errors are ignored: a caller that has disconnected by now has already received
+	// the complete text.
 	_ = w.writeEvent(w.newReply(true, choice))
 	if w.includeUsage {
 		last := w.newReply(true)
-		last.Usage = newUsage(writeEnd, tokens)
+		last.Usage = newUsage(end, tokens)
 		_ = w.writeEvent(last)
 	}
 	_ = w.sse.WriteEvent("", "", []byte("[DONE]"))
--- a/entry/api_files.go
+++ b/entry/api_files.go
@@ -308,7 +308,7 @@
 	l := batchLine{ID: "batch_req_" + id, CustomID: line.GetCustomId()}
 	if line.GetState() == "succeeded" {
 		w := &completionWriter{chat: strings.Contains(job.GetEndpoint(), "chat"), model: job.GetModel(), id: id}
-		l.Response = &batchResponse{StatusCode: 200, RequestID: id, Body: w.batchReply(line)}
+		l.Response = &batchResponse{StatusCode: 200, RequestID: id, Body: w.newItemReply(line)}
 	} else {
 		l.Error = &batchError{Code: line.GetState(), Message: line.GetReason()}
 	}
--- a/entry/world_test.go
+++ b/entry/cluster_test.go
@@ -76,24 +76,24 @@
 	return logging.New(logging.Settings{Level: "debug"})
 }
 
-func newTestCluster(set clusterSettings) *testCluster {
+func newTestCluster(settings clusterSettings) *testCluster {
 	ctx, cancel := context.WithCancel(context.Background())
 	tc := &testCluster{
-		ctx: ctx, cancel: cancel, settings: set,
-		log:     standin.NewLog(set.log),
-		hosts:   standin.NewHostList(set.hostLag),
+		ctx: ctx, cancel: cancel, settings: settings,
+		log:     standin.NewLog(settings.log),
+		hosts:   standin.NewHostList(settings.hostLag),
 		net:     &pipeNet{hosts: make(map[string]*pipeHost)},
 		entries: make(map[string]*testEntry),
 		agents:  make(map[string]*testAgent),
 		engines: make(map[string]*standin.Engine),
 		service: &standin.Service{Delay: 20 * time.Millisecond},
 	}
-	for n := range set.agents {
+	for n := range settings.agents {
 		name := agentName(n)
 		tc.engines[name] = standin.NewEngine(ctx, standin.EngineSettings{Models: []string{testModel}, StepBase: 5 * time.Millisecond, MaxRunning: 4})
 		tc.startAgent(name)
 	}
-	for n := range set.entries {
+	for n := range settings.entries {
 		tc.startEntry(entryName(n))
 	}
 	return tc
@@ -203,17 +203,17 @@
 	host *pipeHost
 }
 
-func (g *pausableLog) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	g.host.waitWhilePaused()
-	off, err := g.log.Append(ctx, stream, data)
-	g.host.waitWhilePaused()
+func (l *pausableLog) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
+	l.host.waitWhilePaused()
+	off, err := l.log.Append(ctx, stream, data)
+	l.host.waitWhilePaused()
 	return off, err
 }
 
-func (g *pausableLog) Read(ctx context.Context, stream string, from uint64, maxBytes int, wait time.Duration) (infra.Page, error) {
-	g.host.waitWhilePaused()
-	p, err := g.log.Read(ctx, stream, from, maxBytes, wait)
-	g.host.waitWhilePaused()
+func (l *pausableLog) Read(ctx context.Context, stream string, from uint64, maxBytes int, wait time.Duration) (infra.Page, error) {
+	l.host.waitWhilePaused()
+	p, err := l.log.Read(ctx, stream, from, maxBytes, wait)
+	l.host.waitWhilePaused()
 	return p, err
 }
 
@@ -223,9 +223,9 @@
 	host *pipeHost
 }
 
-func (g *pausableHostList) Hosts(ctx context.Context) ([]infra.Host, error) {
-	g.host.waitWhilePaused()
-	return g.list.Hosts(ctx)
+func (l *pausableHostList) Hosts(ctx context.Context) ([]infra.Host, error) {
+	l.host.waitWhilePaused()
+	return l.list.Hosts(ctx)
 }
 
 // pipeNet is a network that connects hosts by in-memory pipes.
@@ -249,9 +249,9 @@
 var errPipeDown = errors.New("host is down")
 
 func newPipeHost(name string) *pipeHost {
-	running := make(chan struct{})
-	close(running)
-	return &pipeHost{name: name, conns: make(map[*pipeConn]struct{}), accept: make(chan net.Conn), closed: make(chan struct{}), resumed: running}
+	resumed := make(chan struct{})
+	close(resumed)
+	return &pipeHost{name: name, conns: make(map[*pipeConn]struct{}), accept: make(chan net.Conn), closed: make(chan struct{}), resumed: resumed}
 }
 
 func (n *pipeNet) addHost(name string) *pipeHost {
@@ -411,9 +411,9 @@
 // waitWhilePaused blocks while the host is paused.
 func (h *pipeHost) waitWhilePaused() {
 	h.mu.Lock()
-	p := h.resumed
+	resumed := h.resumed
 	h.mu.Unlock()
-	<-p
+	<-resumed
 }
 
 // pipeConn is one end of a connection.
@@ -431,10 +431,10 @@
 // waitWhilePaused blocks while the host is paused and the connection is open.
 func (c *pipeConn) waitWhilePaused() {
 	c.host.mu.Lock()
-	p := c.host.resumed
+	resumed := c.host.resumed
 	c.host.mu.Unlock()
 	select {
-	case <-p:
+	case <-resumed:
 	case <-c.closed:
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -78,12 +78,12 @@
 	agents         map[string]*node // by host name
 	entries        map[string]*node
 	limits         map[string]*limiter
-	leaving        bool
+	draining       bool
 	inFlight       int
 	offsets        map[string]uint64 // last reported config offset by node name
 	hosts          []infra.Host      // last host list read
-	servingEntries int               // entries that are not leaving, including this one; at least 1
-	agentLeaving   map[string]bool   // whether each agent reports that it is leaving
+	servingEntries int               // entries that are not draining, including this one; at least 1
+	agentDraining  map[string]bool   // whether each agent reports that it is draining
 }
 
 // node is another process, an agent or an entry, that this entry connects to.
@@ -111,16 +111,16 @@
 	}
 	cfg.Routing.DataCentre = cfg.DataCentre
 	e := &Entry{
-		cfg:          cfg,
-		log:          cfg.Logger.WithPrefix("entry"),
-		retryBudget:  online.NewRetryBudget(),
-		events:       newEventLog(),
-		router:       routing.New(cfg.Routing),
-		agents:       make(map[string]*node),
-		entries:      make(map[string]*node),
-		limits:       make(map[string]*limiter),
-		offsets:      make(map[string]uint64),
-		agentLeaving: make(map[string]bool),
+		cfg:           cfg,
+		log:           cfg.Logger.WithPrefix("entry"),
+		retryBudget:   online.NewRetryBudget(),
+		events:        newEventLog(),
+		router:        routing.New(cfg.Routing),
+		agents:        make(map[string]*node),
+		entries:       make(map[string]*node),
+		limits:        make(map[string]*limiter),
+		offsets:       make(map[string]uint64),
+		agentDraining: make(map[string]bool),
 	}
 	e.follower = config.NewFollower(cfg.Log, cfg.Incarnation, cfg.Bootstrap, cfg.Logger)
 	e.follower.SetFetch(e.fetchConfig)
@@ -156,7 +156,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.leaving
+	return !e.draining
 }
 
 // Leave drains the entry: it reports not ready, waits until the requests in
@@ -166,7 +166,7 @@
 // the entry still accepts requests.
 func (e *Entry) Leave(ctx context.Context, balancerDelay time.Duration) int {
 	e.mu.Lock()
-	e.leaving = true
+	e.draining = true
 	e.mu.Unlock()
 	_ = wait.For(ctx, balancerDelay)
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -213,13 +213,13 @@
 
 func (e *Entry) status() *wire.NodeStatus {
 	e.mu.Lock()
-	leaving := e.leaving
+	draining := e.draining
 	e.mu.Unlock()
 	return &wire.NodeStatus{
 		Node:         e.cfg.Name,
 		DataCentre:   e.cfg.DataCentre,
 		Incarnation:  e.cfg.Incarnation[:],
-		Leaving:      leaving,
+		Leaving:      draining,
 		ConfigOffset: e.follower.Offset(),
 	}
 }
@@ -235,15 +235,15 @@
 	return ""
 }
 
-// handlePeerLost removes the unreachable agent at addr from routing.
+// handlePeerLost marks the agent at addr as unreachable in the router.
 func (e *Entry) handlePeerLost(addr string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.router.MarkUnreachable(e.agentByAddr(addr))
 }
 
-// handlePeerStatus records the status that a peer reported in a heartbeat. A nil
-// status only marks the agent as alive.
+// handlePeerStatus records the status that a peer reported in a heartbeat. A nil status
+// means that nothing has changed; it only renews the agent's last report.
 func (e *Entry) handlePeerStatus(addr string, st *wire.NodeStatus) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -255,7 +255,7 @@
 	if e.agents[st.GetNode()] == nil {
 		return
 	}
-	e.agentLeaving[st.GetNode()] = st.GetLeaving()
+	e.agentDraining[st.GetNode()] = st.GetLeaving()
 	e.router.UpdateReport(time.Now(), st.GetNode(), routing.Report{
 		Incarnation: string(st.GetIncarnation()),
 		DataCentre:  st.GetDataCentre(),
@@ -272,7 +272,7 @@
 func (e *Entry) handleCall(ctx context.Context, _ link.Class, call *wire.Call, st *link.Stream) {
 	switch k := call.GetKind().(type) {
 	case *wire.Call_ConfigFetch:
-		// Errors are ignored: a node that did not get the records calls again.
+		// Errors are ignored: a node that did not receive the records repeats the call.
 		_ = st.Send(e.follower.Records(k.ConfigFetch.GetFrom()))
 	case *wire.Call_Peer:
 		_ = st.Send(e.servePeer(ctx, k.Peer))
@@ -309,8 +309,8 @@
 const maxSnapshotLagRecords = 500
 
 // writeConfigSnapshots writes a snapshot of the configuration whenever enough
-// records have been added. Only the proposed owner of partition 0 does so, which
-// avoids that every entry writes the same snapshot.
+// records have been added. Only the proposed owner of partition 0 does so, so that not
+// every entry writes the same snapshot.
 func (e *Entry) writeConfigSnapshots(ctx context.Context) {
 	var written uint64
 	tick := time.NewTicker(5 * time.Second)
--- a/entry/history_test.go
+++ b/entry/history_test.go
@@ -156,7 +156,7 @@
 	return objectRef{partition: e.partitionOf(file), id: Digest16([]byte("job"), []byte(testWorkspace.Name), digest)}
 }
 
-var historyStepKinds = []string{"pause and delist entry", "resume entry", "kill entry", "restart entry", "lose answers", "drop appends", "silence", "crash engine"}
+var historyStepKinds = []string{"pause and delist entry", "resume entry", "kill entry", "restart entry", "lose log responses", "drop appends", "silence", "crash engine"}
 
 // Callers submit, read and cancel one job through both entries concurrently while
 // hosts and the log fail. Guards against responses that disagree with the log,
@@ -209,10 +209,10 @@
 	return failure
 }
 
-// Guards against an owner that answers from memory without having read the log
+// Guards against an owner that responds from memory without having read the log
 // since it was paused. The owner is paused, the other entry takes over and
 // cancels the job, and the first owner resumes and is read at once. A caller that
-// was told "cancelled" would then read "in_progress".
+// received "cancelled" would then read "in_progress".
 func TestResumedOwnerServesNoStaleState(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		tc := newTestCluster(clusterSettings{entries: 2, agents: 1, partitions: 2, snapshotEvery: 100})
--- a/entry/hosts.go
+++ b/entry/hosts.go
@@ -37,21 +37,21 @@
 	}
 }
 
-// setHosts applies a host list: it adds and removes nodes and tells the ledger
-// which entries are alive.
+// setHosts applies a host list: it adds and removes nodes, passes the live entries to the
+// ledger and marks drained agents in the router.
 func (e *Entry) setHosts(ctx context.Context, hosts []infra.Host) {
 	var alive, serving []string
 	agents := make(map[string]infra.Host)
 	entries := make(map[string]infra.Host)
 	for _, h := range hosts {
-		leaving := h.Leaving || e.drained(h.Name)
-		h.Leaving = leaving
+		draining := h.Leaving || e.drained(h.Name)
+		h.Leaving = draining
 		switch h.Role {
 		case infra.RoleAgent:
 			agents[h.Name] = h
 		case infra.RoleEntry:
 			alive = append(alive, h.Name)
-			if !leaving {
+			if !draining {
 				serving = append(serving, h.Name)
 			}
 			if h.Name != e.cfg.Name {
@@ -97,8 +97,8 @@
 }
 
 // reconcileNodes removes the nodes that are not in hosts or have another address
-// there, and adds the missing ones. agents says that the nodes are agents, which
-// are also routed to. Entry.mu must be held.
+// there, and adds the missing ones. agents reports whether the nodes are agents, which are
+// also added to and removed from the router. Entry.mu must be held.
 func (e *Entry) reconcileNodes(ctx context.Context, nodes map[string]*node, hosts map[string]infra.Host, agents bool) {
 	for name, n := range nodes {
 		if h, ok := hosts[name]; ok && h.Addr == n.host.Addr {
@@ -111,7 +111,7 @@
 		delete(e.offsets, name)
 		if agents {
 			e.router.Remove(name)
-			delete(e.agentLeaving, name)
+			delete(e.agentDraining, name)
 		}
 	}
 	for name, h := range hosts {
@@ -201,9 +201,8 @@
 func (f feedStream) Recv(m *wire.AgentUpdate) error { return f.st.Recv(m) }
 func (f feedStream) Close()                         { f.st.Close() }
 
-// fetchConfig asks the other entries for config records from offset from on, and
-// returns the reply that reaches furthest. Entries that do not answer are
-// skipped.
+// fetchConfig fetches config records from offset from on from all other entries, and returns
+// the reply that reaches the highest offset. Entries that do not respond are skipped.
 func (e *Entry) fetchConfig(ctx context.Context, from uint64) (*wire.ConfigRecords, error) {
 	e.mu.Lock()
 	var peers []*node
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -94,7 +94,7 @@
 
 // withUnknownOutcome marks a failure to determine the owner of a key as "unknown
 // whether it ran". This call sends nothing to an agent, but an earlier call with
-// the same key may have run. If the caller were told "not run", it could send the
+// the same key may have run. If the caller received "not run", it could send the
 // request again under a new key, and the request would run twice.
 func withUnknownOutcome(err error) error {
 	fail := *apierr.From(err)
@@ -110,8 +110,8 @@
 		[]byte(d.req.Service), []byte(d.req.Method), []byte(d.req.Path), d.req.Body)
 }
 
-// attachToKeyOwner returns the answer of the request that owns the key, by
-// attaching to it at the agent that runs it.
+// attachToKeyOwner attaches to the request that owns the key, at the agent that runs it, and
+// passes on its response.
 func (d *dispatch) attachToKeyOwner(ctx context.Context, owner *wire.KeyReply) (*wire.End, error) {
 	n := d.e.agent(owner.GetAgent())
 	if n == nil {
@@ -123,7 +123,7 @@
 		incarnation = a.Report.Incarnation
 	}
 	d.e.mu.Unlock()
-	reader := &answerReader{dispatch: d, node: n, incarnation: []byte(incarnation), assembler: online.NewAssembler(owner.GetRequest()), id: owner.GetRequest(), shared: true}
+	reader := &responseReader{dispatch: d, node: n, incarnation: []byte(incarnation), assembler: online.NewAssembler(owner.GetRequest()), id: owner.GetRequest(), shared: true}
 	end, err := reader.readToEnd(ctx, &wire.Call{Kind: &wire.Call_Attach{Attach: &wire.Attach{Id: owner.GetRequest()}}})
 	if err == nil {
 		return end, nil
--- a/entry/inforce.go
+++ b/entry/lagging.go
@@ -13,12 +13,12 @@
 	"pumiceford/wire"
 )
 
-// maxConcurrentProbes is the number of nodes that laggingNodes asks at a time.
+// maxConcurrentProbes is the number of nodes that laggingNodes queries at the same time.
 const maxConcurrentProbes = 32
 
 // laggingNodes returns the sorted names of the nodes on the host list that have
-// not applied the configuration up to offset. It asks only nodes whose offset, as
-// last reported in heartbeats, is not sufficient or not known. Asking them on
+// not applied the configuration up to offset. It queries only nodes whose offset, as
+// last reported in heartbeats, is not sufficient or not known. Querying them on
 // demand is cheaper than a permanent connection from every entry to every node,
 // as there are only a few hundred configuration changes a day.
 func (e *Entry) laggingNodes(ctx context.Context, offset uint64) []string {
@@ -49,8 +49,8 @@
 	return out
 }
 
-// knownOffset returns the last config offset known of a node without asking it, 0
-// if there is none.
+// knownOffset returns the config offset that a node last reported, or 0 if it has not
+// reported one. It sends no request.
 func (e *Entry) knownOffset(name string) uint64 {
 	if name == e.cfg.Name {
 		return e.follower.Offset()
@@ -60,8 +60,8 @@
 	return e.offsets[name]
 }
 
-// probeOffset asks a node for its config offset and returns 0 if the node does not
-// answer within peerTimeout. It opens a temporary connection to a node that this
+// probeOffset requests the config offset of a node and returns 0 if the node does not
+// respond within peerTimeout. It opens a temporary connection to a node that this
 // entry is not connected to.
 func (e *Entry) probeOffset(ctx context.Context, h infra.Host) uint64 {
 	e.mu.Lock()
--- a/entry/ledger_fault_test.go
+++ b/entry/ledger_fault_test.go
@@ -18,8 +18,8 @@
 	"pumiceford/wire"
 )
 
-// testJob is a job with the expectations of the checks, which come only from what
-// its caller was told.
+// testJob is a job with the state that the checks expect. The expectations come only from
+// the responses that its caller received.
 type testJob struct {
 	name          string
 	items         int
@@ -29,7 +29,7 @@
 	key           string
 	ref           objectRef
 	accepted      bool
-	cancelled     bool // the caller was told "cancelled"
+	cancelled     bool // the caller received "cancelled"
 	doneAtCancel  uint32
 	runsAtCancel  map[string]int
 }
@@ -271,7 +271,7 @@
 	"submit", "submit", "resend", "cancel",
 	"kill entry", "restart entry", "pause entry", "resume entry", "pause and delist entry", "pause and delist entry",
 	"kill agent", "restart agent", "crash engine", "silence",
-	"log down", "log up", "lose answers", "drop appends", "repeat appends",
+	"log down", "log up", "lose log responses", "drop appends", "repeat appends",
 }
 
 // drawDelay draws short delays as often as long ones. Within short delays several
@@ -366,7 +366,7 @@
 		tc.log.SetDown(true)
 	case "log up":
 		tc.log.SetDown(false)
-	case "lose answers":
+	case "lose log responses":
 		tc.log.LoseResponses(1 + s.B)
 	case "drop appends":
 		tc.log.DropAppends(1 + s.B)
@@ -417,11 +417,11 @@
 func runLedgerScenario(t *testing.T, steps []step, trimmed bool) error {
 	var failure error
 	runInBubble(t, func(*testing.T) {
-		set := clusterSettings{entries: 2, agents: 2, partitions: 2, snapshotEvery: 40, hostLag: 300 * time.Millisecond}
+		settings := clusterSettings{entries: 2, agents: 2, partitions: 2, snapshotEvery: 40, hostLag: 300 * time.Millisecond}
 		if trimmed {
-			set.log.RetainRecords = 400
+			settings.log.RetainRecords = 400
 		}
-		tc := newTestCluster(set)
+		tc := newTestCluster(settings)
 		defer tc.close()
 		failure = eventually(time.Minute, func() error { return tc.configureModel(tc.ctx) })
 		if failure != nil {
@@ -453,7 +453,7 @@
 // Guards against accepted items that never complete, complete twice or with
 // another item's result, run after their cancel was confirmed, or run twice
 // although they are not idempotent. The random steps are crashes, pauses longer
-// than the lease, takeover races, lost replies, repeated appends, outages,
+// than the lease, takeover races, lost responses of the log, repeated appends, outages,
 // retries, cancels and items that crash their engine, in any order.
 func TestBatchJobsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -510,7 +510,7 @@
 
 // A submit while the log is down must fail as not run. Guards against accepting a
 // job before its record has been read back from the log: if the append took
-// effect, its reply was lost and the owner died, a job that was reported as
+// effect, its response was lost and the owner died, a job that was reported as
 // accepted could be lost.
 func TestSubmitFailsWhileLogIsDown(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
--- a/entry/online.go
+++ b/entry/online.go
@@ -34,7 +34,7 @@
 	Weight        float64
 }
 
-// Sink receives the pieces of an answer in order. It returns an error if the
+// Sink receives the pieces of a response in order. It returns an error if the
 // caller has disconnected.
 type Sink func(*wire.Piece) error
 
@@ -43,16 +43,16 @@
 	e               *Entry
 	req             *Request
 	sink            Sink
-	deliveredTokens uint32   // tokens passed to the caller so far
-	ran             wire.Ran // whether any attempt so far ran
-	excluded        map[string]bool
+	deliveredTokens uint32          // tokens passed to the caller so far
+	ran             wire.Ran        // whether any attempt so far ran
+	excluded        map[string]bool // names of the agents already tried
 }
 
 // maxAttempts is the maximum number of agents that one request is sent to.
 const maxAttempts = 4
 
-// Do runs a request and passes its answer to sink. It returns the end of the
-// answer or an *apierr.Error, whose Ran field says whether the request ran.
+// Do runs a request and passes its response to sink. It returns the end of the response or an
+// *apierr.Error, whose Ran field states whether the request ran.
 func (e *Entry) Do(ctx context.Context, req *Request, sink Sink) (*wire.End, error) {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
@@ -94,8 +94,8 @@
 	return c, ok
 }
 
-// recordEnd tells the router that the request has ended at an agent, and whether
-// the agent or its engine is at fault.
+// recordEnd records in the router that the request has ended at an agent, and whether the
+// agent or its engine is at fault.
 func (d *dispatch) recordEnd(name string, err error) {
 	fault := err != nil && (apierr.Is(err, apierr.CodeEngineFailed) || errors.Is(err, errAgentLost))
 	d.e.mu.Lock()
@@ -107,8 +107,8 @@
 // meant to, is unreachable or no longer has it.
 var errAgentLost = errors.New("agent unreachable or request not found at the agent")
 
-// tryAgents sends the request to one agent after another until one answers, no
-// further retry is allowed or maxAttempts is reached.
+// tryAgents sends the request to one agent after another until one completes it, no further
+// retry is allowed or maxAttempts is reached.
 func (d *dispatch) tryAgents(ctx context.Context) (*wire.End, error) {
 	var last error
 	for n := 0; n < maxAttempts; n++ {
@@ -188,7 +188,7 @@
 		fail = *apierr.MaybeExecuted(apierr.CodeOutcomeUnknown, "the target was lost while it had the request")
 	}
 	// Merge the outcomes of all attempts: the last target may not have run the
-	// request although an earlier one did. Otherwise the caller would be told
+	// request although an earlier one did. Otherwise the caller would receive
 	// "not run" after a run whose target was lost.
 	fail.Ran = mergeRan(d.ran, fail.Ran)
 	if fail.Code == apierr.CodeEngineFailed && fail.Ran == wire.Ran_RAN_UNKNOWN {
@@ -209,7 +209,7 @@
 	return wire.Ran_RAN_NO
 }
 
-// sendTo sends the request to one agent and reads the answer to its end.
+// sendTo sends the request to one agent and reads the response to its end.
 func (d *dispatch) sendTo(ctx context.Context, c routing.Choice) (*wire.End, error) {
 	n := d.e.agent(c.Name)
 	if n == nil {
@@ -233,13 +233,13 @@
 		KeepAnswer:       d.req.Key != "",
 		Weight:           d.req.Weight,
 	}
-	reader := &answerReader{dispatch: d, node: n, incarnation: []byte(c.Incarnation), assembler: online.NewAssembler(d.req.ID[:]), id: d.req.ID[:]}
+	reader := &responseReader{dispatch: d, node: n, incarnation: []byte(c.Incarnation), assembler: online.NewAssembler(d.req.ID[:]), id: d.req.ID[:]}
 	return reader.readToEnd(ctx, &wire.Call{Kind: &wire.Call_Start{Start: start}})
 }
 
-// answerReader reads the answer to one request from one agent. It reattaches when
+// responseReader reads the response to one request from one agent. It reattaches when
 // the connection is lost.
-type answerReader struct {
+type responseReader struct {
 	dispatch    *dispatch
 	node        *node
 	id          []byte
@@ -250,33 +250,33 @@
 	shared bool
 }
 
-// readToEnd opens a stream with call and reads the answer to its end. After a lost
+// readToEnd opens a stream with call and reads the response to its end. After a lost
 // connection it reattaches from the next frame, until no frame has arrived for
 // ReattachTimeout, or ResumeTimeout if the request is idempotent.
-func (a *answerReader) readToEnd(ctx context.Context, call *wire.Call) (*wire.End, error) {
+func (r *responseReader) readToEnd(ctx context.Context, call *wire.Call) (*wire.End, error) {
 	lostAt := time.Time{}
-	reattachTimeout := a.dispatch.e.cfg.ReattachTimeout
-	if !a.dispatch.req.NonIdempotent {
-		reattachTimeout = a.dispatch.e.cfg.ResumeTimeout
+	reattachTimeout := r.dispatch.e.cfg.ReattachTimeout
+	if !r.dispatch.req.NonIdempotent {
+		reattachTimeout = r.dispatch.e.cfg.ResumeTimeout
 	}
 	for {
-		nextSeq := a.assembler.NextSeq()
-		err := a.readStream(ctx, call)
-		if end := a.assembler.End(); end != nil {
+		nextSeq := r.assembler.NextSeq()
+		err := r.readStream(ctx, call)
+		if end := r.assembler.End(); end != nil {
 			return end, nil
 		}
-		if a.assembler.NextSeq() != nextSeq {
+		if r.assembler.NextSeq() != nextSeq {
 			lostAt = time.Time{}
 		}
 		var fail *apierr.Error
 		if errors.As(err, &fail) {
 			if fail.Code == apierr.CodeUnknownRequest {
-				return nil, a.resolveUnknown(ctx)
+				return nil, r.resolveUnknown(ctx)
 			}
 			return nil, fail
 		}
 		if ctx.Err() != nil {
-			return nil, a.abort(ctx)
+			return nil, r.abort(ctx)
 		}
 		var dialErr *link.DialError
 		if call.GetStart() != nil && errors.As(err, &dialErr) {
@@ -288,21 +288,21 @@
 		if time.Since(lostAt) > reattachTimeout {
 			return nil, errors.Mark(apierr.MaybeExecuted(apierr.CodeOutcomeUnknown, "target not reached"), errAgentLost)
 		}
-		if !lostAt.IsZero() && a.assembler.NextSeq() == nextSeq {
+		if !lostAt.IsZero() && r.assembler.NextSeq() == nextSeq {
 			_ = wait.For(ctx, reattachDelay)
 		}
-		call = &wire.Call{Kind: &wire.Call_Attach{Attach: &wire.Attach{Id: a.id, FromSeq: a.assembler.NextSeq()}}}
+		call = &wire.Call{Kind: &wire.Call_Attach{Attach: &wire.Attach{Id: r.id, FromSeq: r.assembler.NextSeq()}}}
 	}
 }
 
-// reattachDelay is the pause between two attempts to reattach to an answer.
+// reattachDelay is the pause between two attempts to reattach to a response.
 const reattachDelay = 20 * time.Millisecond
 
-// readStream opens one stream and reads frames until the answer ends or the
+// readStream opens one stream and reads frames until the response ends or the
 // stream breaks. A returned *apierr.Error ends the request; after any other error
 // the caller may open another stream.
-func (a *answerReader) readStream(ctx context.Context, call *wire.Call) error {
-	st, err := a.node.peer.Open(ctx, link.Online, call)
+func (r *responseReader) readStream(ctx context.Context, call *wire.Call) error {
+	st, err := r.node.peer.Open(ctx, link.Online, call)
 	if err != nil {
 		return err
 	}
@@ -318,34 +318,34 @@
 			// This failure has no sequence number, so it bypasses the assembler.
 			return apierr.FromWire(fail)
 		}
-		pieces, err := a.assembler.AddFrame(f)
+		pieces, err := r.assembler.AddFrame(f)
 		if err != nil {
 			return err
 		}
 		for _, p := range pieces {
-			if err := a.deliver(p); err != nil {
-				return a.cancelForCaller()
+			if err := r.deliver(p); err != nil {
+				return r.cancelForCaller()
 			}
 		}
-		if fail := a.assembler.Failure(); fail != nil {
+		if fail := r.assembler.Failure(); fail != nil {
 			return apierr.FromWire(fail)
 		}
-		if a.assembler.End() != nil {
+		if r.assembler.End() != nil {
 			return nil
 		}
 	}
 }
 
-func (a *answerReader) deliver(p *wire.Piece) error {
-	a.dispatch.deliveredTokens += p.GetTokens()
-	return a.dispatch.sink(p)
+func (r *responseReader) deliver(p *wire.Piece) error {
+	r.dispatch.deliveredTokens += p.GetTokens()
+	return r.dispatch.sink(p)
 }
 
 // cancelForCaller revokes the request after the caller has disconnected.
-func (a *answerReader) cancelForCaller() error {
+func (r *responseReader) cancelForCaller() error {
 	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
-	ran := a.revoke(ctx)
+	ran := r.revoke(ctx)
 	return &apierr.Error{Code: apierr.CodeCancelled, Message: "the caller hung up", Ran: ran}
 }
 
@@ -353,14 +353,14 @@
 const revokeTimeout = time.Second
 
 // revoke cancels the request at the agent and returns whether it ran. The result
-// is RAN_UNKNOWN if the request is shared or the agent does not answer.
-func (a *answerReader) revoke(ctx context.Context) wire.Ran {
-	if a.shared {
+// is RAN_UNKNOWN if the request is shared or the agent does not respond.
+func (r *responseReader) revoke(ctx context.Context) wire.Ran {
+	if r.shared {
 		return wire.Ran_RAN_UNKNOWN
 	}
 	reply := &wire.Revoked{}
-	call := &wire.Call{Kind: &wire.Call_Revoke{Revoke: &wire.Revoke{Id: a.id, AgentIncarnation: a.incarnation}}}
-	if err := a.node.peer.Call(ctx, link.Online, call, reply); err != nil {
+	call := &wire.Call{Kind: &wire.Call_Revoke{Revoke: &wire.Revoke{Id: r.id, AgentIncarnation: r.incarnation}}}
+	if err := r.node.peer.Call(ctx, link.Online, call, reply); err != nil {
 		return wire.Ran_RAN_UNKNOWN
 	}
 	return reply.GetRan()
@@ -368,26 +368,26 @@
 
 // abort revokes a request whose deadline has passed or whose caller has
 // disconnected, and returns the error for it.
-func (a *answerReader) abort(ctx context.Context) error {
+func (r *responseReader) abort(ctx context.Context) error {
 	revokeCtx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
-	ran := a.revoke(revokeCtx)
+	ran := r.revoke(revokeCtx)
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return &apierr.Error{Code: apierr.CodeDeadlineExceeded, Message: "the deadline passed", Ran: ran}
 	}
 	return &apierr.Error{Code: apierr.CodeCancelled, Message: "the caller hung up", Ran: ran}
 }
 
-// resolveUnknown determines whether a request ran that the agent does not know:
-// its start was lost in transit, or the agent was restarted. The revoke leaves a
+// resolveUnknown determines whether a request ran that the agent reports as unknown: its
+// start was lost in transit, or the agent was restarted. The revoke leaves a
 // tombstone at the agent, so that a delayed copy of the start cannot run.
-func (a *answerReader) resolveUnknown(ctx context.Context) error {
-	if a.assembler.NextSeq() > 0 {
+func (r *responseReader) resolveUnknown(ctx context.Context) error {
+	if r.assembler.NextSeq() > 0 {
 		return errors.Mark(apierr.Executed(apierr.CodeOutcomeUnknown, "target lost the answer"), errAgentLost)
 	}
 	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
-	switch a.revoke(ctx) {
+	switch r.revoke(ctx) {
 	case wire.Ran_RAN_NO:
 		return apierr.New(apierr.CodeNotRun, "the request did not reach its target")
 	case wire.Ran_RAN_YES:
--- a/entry/online_fault_test.go
+++ b/entry/online_fault_test.go
@@ -26,7 +26,7 @@
 	nonIdempotent bool
 	key           string
 	got           strings.Builder
-	mismatched    bool // the text received is not a prefix of the expected answer
+	mismatched    bool // the text received is not a prefix of the expected response
 	err           *apierr.Error
 	done          bool
 }
@@ -82,7 +82,7 @@
 	runs := tc.countCallRuns(c)
 	switch {
 	case !c.done:
-		return fmt.Errorf("request %s has no answer", c.prompt)
+		return fmt.Errorf("request %s got no response", c.prompt)
 	case c.mismatched:
 		return fmt.Errorf("request %s got %q, which is not a prefix of %q", c.prompt, c.got.String(), c.want())
 	case c.err == nil && c.got.String() != c.want():
@@ -101,7 +101,7 @@
 	"ask", "ask", "ask", "non-idempotent ask", "non-idempotent ask", "stamp", "keyed stamp", "resend",
 	"kill entry", "restart entry", "pause entry", "resume entry",
 	"kill agent", "restart agent", "pause agent", "resume agent", "crash engine", "silence", "silence",
-	"drain agent", "log down", "log up", "lose answers",
+	"drain agent", "log down", "log up", "lose log responses",
 }
 
 // runOnlineScenario applies steps while callers send requests, and checks every
@@ -197,7 +197,7 @@
 	}
 }
 
-// Guards against responses with another caller's data, truncated answers that
+// Guards against responses with another caller's data, truncated responses that
 // look complete, "not run" for a request that ran, and second runs of
 // non-idempotent requests. The random faults are killed, paused and draining
 // hosts, engine crashes, connections that discard all data, retries through the
