--- a/admission/admission.go
+++ b/admission/admission.go
@@ -80,7 +80,7 @@
 	Reject             // the deadline passed in the queue
 )
 
-// Action tells the caller what to do with an entry.
+// Action is a decision on an entry that the caller must carry out.
 type Action struct {
 	Kind  ActionKind
 	Entry *Entry
--- a/admission/fair.go
+++ b/admission/fair.go
@@ -66,7 +66,7 @@
 }
 
 // pushFront queues a popped entry again, ahead of its workspace's other entries. It
-// leaves the finish tag alone, because push has charged the workspace already.
+// does not change the finish tag, because push has already charged the workspace.
 func (q *fairQueue) pushFront(e *Entry) {
 	it := &fairItem{start: q.virtualTime, entry: e}
 	e.queueItem = it
