--- a/online/assembler.go
+++ b/online/assembler.go
@@ -26,15 +26,15 @@
 	failure *wire.Failure
 }
 
-// NewAssembler returns an Assembler for a request id.
+// NewAssembler returns an Assembler for a request ID.
 func NewAssembler(id []byte) *Assembler {
 	return &Assembler{id: id, pending: make(map[uint64]*wire.Frame), digest: xxhash.New()}
 }
 
-// NextSeq returns the lowest sequence number that was not received.
+// NextSeq returns the lowest sequence number that has not been received.
 func (a *Assembler) NextSeq() uint64 { return a.next }
 
-// Tokens returns how many tokens the pieces in order have.
+// Tokens returns the number of tokens in the pieces received in order so far.
 func (a *Assembler) Tokens() uint32 { return a.tokens }
 
 // End returns the end of a complete response, nil before it.
@@ -43,7 +43,7 @@
 // Failure returns the failure that ended the response, nil if there is none.
 func (a *Assembler) Failure() *wire.Failure { return a.failure }
 
-// AddFrame adds one frame and returns the pieces that it completes, in order. It ignores
+// AddFrame adds one frame and returns the pieces that are now next in order. It ignores
 // duplicates and frames after the end. An error means that the response is unusable.
 func (a *Assembler) AddFrame(f *wire.Frame) ([]*wire.Piece, error) {
 	if !bytes.Equal(f.GetId(), a.id) {
--- a/online/response.go
+++ b/online/response.go
@@ -11,9 +11,9 @@
 	"pumiceford/wire"
 )
 
-// Response buffers the frames of a response at the agent while it is generated. It keeps
-// all frames, so that a reader that lost its connection can resume at any frame. It
-// is safe for concurrent use.
+// Response buffers the frames of a response at the agent while it is generated. It keeps all
+// frames, so that a reader that lost its connection can resume at any frame. It is safe for
+// concurrent use.
 type Response struct {
 	id []byte
 
@@ -25,7 +25,7 @@
 	tokens  uint32
 }
 
-// NewResponse returns an empty buffer for the response to a request id.
+// NewResponse returns an empty Response for a request ID.
 func NewResponse(id []byte) *Response {
 	return &Response{id: id, digest: xxhash.New(), changed: make(chan struct{})}
 }
@@ -93,8 +93,8 @@
 	r.changed = make(chan struct{})
 }
 
-// FramesFrom returns the frames from sequence number seq on, whether the response is closed,
-// and a channel that is closed when further frames are added.
+// FramesFrom returns the frames from sequence number seq on, whether the response is closed, and
+// a channel that is closed when further frames are added.
 func (r *Response) FramesFrom(seq uint64) (frames []*wire.Frame, closed bool, changed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
