--- a/routing/routing.go
+++ b/routing/routing.go
@@ -120,7 +120,7 @@
 }
 
 // UpdateReport stores an agent's report. A report from a new incarnation ends an ejection,
-// because the failures were those of the earlier process.
+// because the failures were those of the previous process.
 func (r *Router) UpdateReport(now time.Time, name string, rep Report) {
 	a := r.agents[name]
 	if a == nil {
@@ -135,16 +135,16 @@
 	a.inFlightAtReport = a.InFlight
 }
 
-// RenewReport extends the validity of an agent's last report. It has no effect on an agent
-// that has not reported since it became unreachable.
+// RenewReport extends the validity of an agent's last report. It has no effect on an agent that
+// has not reported since it became unreachable.
 func (r *Router) RenewReport(now time.Time, name string) {
 	if a := r.agents[name]; a != nil && !a.reportedAt.IsZero() {
 		a.reportedAt = now
 	}
 }
 
-// MarkUnreachable marks an agent as unreachable. The agent gets no requests until it reports
-// again.
+// MarkUnreachable marks an agent as unreachable. The agent gets no requests until it
+// reports again.
 func (r *Router) MarkUnreachable(name string) {
 	if a := r.agents[name]; a != nil {
 		a.reportedAt = time.Time{}
@@ -158,8 +158,8 @@
 	}
 }
 
-// RequestEnded counts a request that ended at an agent. fault says whether the agent failed
-// it. EjectAfter consecutive failures eject the agent, within MaxEjectedFraction.
+// RequestEnded counts a request that ended at an agent. fault is set if the agent
+// failed it. EjectAfter consecutive failures eject the agent, within MaxEjectedFraction.
 func (r *Router) RequestEnded(now time.Time, name string, fault bool) {
 	a := r.agents[name]
 	if a == nil {
@@ -285,8 +285,8 @@
 			}
 			continue
 		}
-		// One request above the bound is always allowed. Otherwise affinity would
-		// have no effect in a fleet that is almost idle.
+		// One request above LoadFactor times the mean is always allowed. Otherwise affinity
+		// would have no effect in a fleet that is almost idle.
 		bound := r.settings.LoadFactor*mean + 1/float64(max(a.Report.Seats, 1))
 		if a.relativeLoad() > bound {
 			continue
