--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,5 +1,5 @@
 // Package agent implements the process that runs beside one target. All requests
-// to the engine pass through it: it queues, admits and runs them, and keeps answers
+// to the engine pass through it: it queues, admits and runs them, and keeps responses
 // until their readers have received them. It is authoritative on whether a request
 // ran.
 package agent
@@ -38,11 +38,11 @@
 	Services    map[string]Service // by name
 	Admission   admission.Settings
 
-	// AnswerRetention is how long a finished answer can still be read. Default 30 s.
-	AnswerRetention time.Duration
-	// KeyedAnswerRetention is the same for requests with an idempotency key. Default
+	// ResponseRetention is how long a finished response can still be read. Default 30 s.
+	ResponseRetention time.Duration
+	// KeyedResponseRetention is the same for requests with an idempotency key. Default
 	// 10 min.
-	KeyedAnswerRetention time.Duration
+	KeyedResponseRetention time.Duration
 	// TombstoneRetention is how long a revoked ID is refused. It must exceed
 	// MaxTimeout. Default 15 min.
 	TombstoneRetention time.Duration
@@ -63,13 +63,13 @@
 
 // Default values of Config.
 const (
-	defaultAnswerRetention      = 30 * time.Second
-	defaultKeyedAnswerRetention = 10 * time.Minute
-	defaultTombstoneRetention   = 15 * time.Minute
-	defaultOrphanTimeout        = 5 * time.Second
-	defaultBatchQueueTime       = 2 * time.Second
-	defaultMaxHeldBytes         = 32 << 20
-	defaultLeaseTimeout         = 3 * time.Second
+	defaultResponseRetention      = 30 * time.Second
+	defaultKeyedResponseRetention = 10 * time.Minute
+	defaultTombstoneRetention     = 15 * time.Minute
+	defaultOrphanTimeout          = 5 * time.Second
+	defaultBatchQueueTime         = 2 * time.Second
+	defaultMaxHeldBytes           = 32 << 20
+	defaultLeaseTimeout           = 3 * time.Second
 )
 
 // MaxTimeout is the longest time-out that a request may carry. Tombstones and
@@ -77,8 +77,8 @@
 const MaxTimeout = 10 * time.Minute
 
 func (c Config) withDefaults() Config {
-	defaults.Set(&c.AnswerRetention, defaultAnswerRetention)
-	defaults.Set(&c.KeyedAnswerRetention, defaultKeyedAnswerRetention)
+	defaults.Set(&c.ResponseRetention, defaultResponseRetention)
+	defaults.Set(&c.KeyedResponseRetention, defaultKeyedResponseRetention)
 	defaults.Set(&c.TombstoneRetention, defaultTombstoneRetention)
 	defaults.Set(&c.OrphanTimeout, defaultOrphanTimeout)
 	defaults.Set(&c.BatchQueueTime, defaultBatchQueueTime)
@@ -164,7 +164,7 @@
 }
 
 const (
-	// sweepInterval is the interval of the checks for expired answers, orphaned
+	// sweepInterval is the interval of the checks for expired responses, orphaned
 	// requests and expired leases.
 	sweepInterval = 100 * time.Millisecond
 	// tombstoneSweepInterval is longer, since there are thousands of tombstones and
@@ -248,7 +248,7 @@
 	switch action.Kind {
 	case admission.Reject:
 		r.lifecycle.Fire(online.TriggerRevoke)
-		r.answer.Fail(deadlineFailure())
+		r.response.Fail(deadlineFailure())
 		r.finishedAt = time.Now()
 	case admission.Start:
 		r.lifecycle.Fire(online.TriggerStart)
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -40,8 +40,8 @@
 }
 
 // Guards against running a request that was reported as not run: its start is delayed
-// in the network, the entry revokes the ID and tells its caller that the request did
-// not run, and then the start arrives at an agent that kept no tombstone.
+// in the network, the entry revokes the ID and reports to its caller that the request
+// did not run, and then the start arrives at an agent that kept no tombstone.
 func TestRefusesStartAfterRevoke(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, a *Agent, e *standin.Engine) {
 		s := testStart(a)
@@ -75,7 +75,7 @@
 	})
 }
 
-// Guards against reporting "not run" for a request that ran: its answer expires, and
+// Guards against reporting "not run" for a request that ran: its response expires, and
 // then the entry revokes the ID at an agent that has no record of the run.
 func TestRevokeAfterAnswerExpired(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, a *Agent, e *standin.Engine) {
@@ -92,7 +92,7 @@
 		kept := a.requests[string(s.GetId())] != nil
 		a.mu.Unlock()
 		if kept {
-			t.Fatal("the answer is still kept 5 min after its end")
+			t.Fatal("the response is still kept 5 min after its end")
 		}
 		if ran := a.revoke(&wire.Revoke{Id: s.GetId(), AgentIncarnation: s.GetAgentIncarnation()}); ran != wire.Ran_RAN_YES {
 			t.Fatalf("revoke after the run returned %v, want RAN_YES", ran)
@@ -150,10 +150,10 @@
 func TestRefusesGrantsOfSupersededOwner(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, a *Agent, e *standin.Engine) {
 		oldFeed, newFeed := testFeed(a), testFeed(a)
-		a.applyFeedDown(oldFeed, &wire.OwnerUpdate{Epochs: testEpochs(1)})
-		a.applyFeedDown(newFeed, &wire.OwnerUpdate{Epochs: testEpochs(2), Cancelled: []*wire.JobRef{{Partition: 1, Epoch: 2, Job: testGrant(2, 7, 0).GetRef().GetJob()}}})
-		a.applyFeedDown(oldFeed, &wire.OwnerUpdate{Epochs: testEpochs(1), Grants: []*wire.Grant{testGrant(1, 7, 0), testGrant(1, 8, 0)}})
-		a.applyFeedDown(newFeed, &wire.OwnerUpdate{Epochs: testEpochs(2), Grants: []*wire.Grant{testGrant(2, 7, 1)}})
+		a.applyOwnerUpdate(oldFeed, &wire.OwnerUpdate{Epochs: testEpochs(1)})
+		a.applyOwnerUpdate(newFeed, &wire.OwnerUpdate{Epochs: testEpochs(2), Cancelled: []*wire.JobRef{{Partition: 1, Epoch: 2, Job: testGrant(2, 7, 0).GetRef().GetJob()}}})
+		a.applyOwnerUpdate(oldFeed, &wire.OwnerUpdate{Epochs: testEpochs(1), Grants: []*wire.Grant{testGrant(1, 7, 0), testGrant(1, 8, 0)}})
+		a.applyOwnerUpdate(newFeed, &wire.OwnerUpdate{Epochs: testEpochs(2), Grants: []*wire.Grant{testGrant(2, 7, 1)}})
 		time.Sleep(time.Second)
 		if n := e.Stats().Admitted; n != 0 {
 			t.Fatalf("%d items ran, want 0", n)
@@ -176,12 +176,12 @@
 		long.MaxTokens = 3000 // about 6 s at 2 ms a step
 		alone := testGrant(1, 7, 1)
 		alone.Alone = true
-		a.applyFeedDown(f, &wire.OwnerUpdate{Epochs: testEpochs(1), Grants: []*wire.Grant{long, alone}})
+		a.applyOwnerUpdate(f, &wire.OwnerUpdate{Epochs: testEpochs(1), Grants: []*wire.Grant{long, alone}})
 		time.Sleep(20 * time.Second)
 		if n := e.Stats().Admitted; n != 1 {
 			t.Fatalf("%d items started without a message from the owner, want 1", n)
 		}
-		a.applyFeedDown(f, &wire.OwnerUpdate{Epochs: testEpochs(1)})
+		a.applyOwnerUpdate(f, &wire.OwnerUpdate{Epochs: testEpochs(1)})
 		time.Sleep(time.Second)
 		if n := e.Stats().Admitted; n != 2 {
 			t.Fatalf("%d items started after a message from the owner, want 2", n)
@@ -195,17 +195,17 @@
 func TestResendsResultsToNewOwner(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T, a *Agent, _ *standin.Engine) {
 		oldFeed, newFeed := testFeed(a), testFeed(a)
-		a.applyFeedDown(oldFeed, &wire.OwnerUpdate{Epochs: testEpochs(1), Grants: []*wire.Grant{testGrant(1, 7, 0)}})
+		a.applyOwnerUpdate(oldFeed, &wire.OwnerUpdate{Epochs: testEpochs(1), Grants: []*wire.Grant{testGrant(1, 7, 0)}})
 		time.Sleep(time.Second)
-		if up := a.nextFeedUp(oldFeed); len(up.GetResults()) == 0 {
+		if update := a.nextAgentUpdate(oldFeed); len(update.GetResults()) == 0 {
 			t.Fatal("no result sent to the first owner")
 		}
-		a.applyFeedDown(newFeed, &wire.OwnerUpdate{Epochs: testEpochs(2)})
-		up := a.nextFeedUp(newFeed)
-		if len(up.GetResults()) != 1 || len(up.GetHeld()) != 1 || len(up.GetDeclared()) != 1 {
-			t.Fatalf("new owner got %v, want 1 result, 1 held item and 1 declared partition", up)
+		a.applyOwnerUpdate(newFeed, &wire.OwnerUpdate{Epochs: testEpochs(2)})
+		update := a.nextAgentUpdate(newFeed)
+		if len(update.GetResults()) != 1 || len(update.GetHeld()) != 1 || len(update.GetDeclared()) != 1 {
+			t.Fatalf("new owner got %v, want 1 result, 1 held item and 1 declared partition", update)
 		}
-		a.applyFeedDown(newFeed, &wire.OwnerUpdate{Durable: []*wire.ItemRef{testGrant(2, 7, 0).GetRef()}})
+		a.applyOwnerUpdate(newFeed, &wire.OwnerUpdate{Durable: []*wire.ItemRef{testGrant(2, 7, 0).GetRef()}})
 		a.mu.Lock()
 		held := len(a.items)
 		a.mu.Unlock()
--- a/agent/configpeer.go
+++ b/agent/configpeer.go
@@ -71,8 +71,8 @@
 	rand.Shuffle(len(entries), func(i, j int) { entries[i], entries[j] = entries[j], entries[i] })
 	best := &wire.ConfigRecords{}
 	for _, h := range entries[:min(maxQueriedEntries, len(entries))] {
-		if got := p.query(ctx, h.Addr, from); got.GetNext() > best.GetNext() {
-			best = got
+		if reply := p.query(ctx, h.Addr, from); reply.GetNext() > best.GetNext() {
+			best = reply
 		}
 	}
 	return best, nil
@@ -83,12 +83,12 @@
 	defer peer.Close()
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	got := &wire.ConfigRecords{}
+	reply := &wire.ConfigRecords{}
 	call := &wire.Call{Kind: &wire.Call_ConfigFetch{ConfigFetch: &wire.ConfigFetch{From: from}}}
-	if peer.Call(ctx, link.Control, call, got) != nil {
+	if peer.Call(ctx, link.Control, call, reply) != nil {
 		return nil
 	}
-	return got
+	return reply
 }
 
 // SetFollower sets the config follower whose offset the agent reports and whose records
--- a/agent/feed.go
+++ b/agent/feed.go
@@ -67,7 +67,7 @@
 		a.readFeed(f, st)
 	}()
 	for {
-		if st.Send(a.nextFeedUp(f)) != nil {
+		if st.Send(a.nextAgentUpdate(f)) != nil {
 			return
 		}
 		timer := time.NewTimer(feedInterval)
@@ -99,14 +99,14 @@
 		if st.Recv(m) != nil {
 			return
 		}
-		a.applyFeedDown(f, m)
+		a.applyOwnerUpdate(f, m)
 		a.wake()
 	}
 }
 
-// applyFeedDown applies one message of an owner. It applies the epochs first, so that
+// applyOwnerUpdate applies one message of an owner. It applies the epochs first, so that
 // it refuses grants and cancels of a superseded owner.
-func (a *Agent) applyFeedDown(f *feed, m *wire.OwnerUpdate) {
+func (a *Agent) applyOwnerUpdate(f *feed, m *wire.OwnerUpdate) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
@@ -187,11 +187,11 @@
 	}
 }
 
-// nextFeedUp builds the next message to an owner and clears what it reports.
-func (a *Agent) nextFeedUp(f *feed) *wire.AgentUpdate {
+// nextAgentUpdate builds the next message to an owner and clears what it reports.
+func (a *Agent) nextAgentUpdate(f *feed) *wire.AgentUpdate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	up := &wire.AgentUpdate{
+	update := &wire.AgentUpdate{
 		Results: f.results,
 		Started: f.started,
 		Models:  a.models,
@@ -199,39 +199,39 @@
 	}
 	f.results = nil
 	f.started = nil
-	a.declarePartitions(f, up)
-	a.confirmStopped(f, up)
+	a.declarePartitions(f, update)
+	a.confirmStopped(f, update)
 	if a.draining() {
 		a.handBackQueued(f)
 	}
-	up.HandedBack = f.handedBack
+	update.HandedBack = f.handedBack
 	f.handedBack = nil
 	if n, ok := a.wantedItems(f); ok {
-		up.Want = &n
+		update.Want = &n
 	}
-	return up
+	return update
 }
 
 // declarePartitions lists all items held of partitions that have a new owner, so that
-// the owner does not run again elsewhere what is running or finished here.
-func (a *Agent) declarePartitions(f *feed, up *wire.AgentUpdate) {
+// the owner does not grant items again that are running or finished here.
+func (a *Agent) declarePartitions(f *feed, update *wire.AgentUpdate) {
 	for _, number := range f.undeclared {
 		p := a.partitions[number]
 		if p == nil || p.feed != f {
 			continue
 		}
-		up.Declared = append(up.Declared, number)
-		up.Incarnation = a.cfg.Incarnation[:]
+		update.Declared = append(update.Declared, number)
+		update.Incarnation = a.cfg.Incarnation[:]
 		for id, it := range a.items {
 			if id.partition != number || it.cancelled {
 				continue
 			}
-			up.Held = append(up.Held, it.grant.GetRef())
+			update.Held = append(update.Held, it.grant.GetRef())
 			if it.state == itemRunning {
-				up.Started = append(up.Started, it.grant.GetRef())
+				update.Started = append(update.Started, it.grant.GetRef())
 			}
 			if it.state == itemDone {
-				up.Results = append(up.Results, it.result)
+				update.Results = append(update.Results, it.result)
 			}
 		}
 	}
@@ -239,7 +239,7 @@
 }
 
 // confirmStopped lists the cancelled jobs of which no item runs here any more.
-func (a *Agent) confirmStopped(f *feed, up *wire.AgentUpdate) {
+func (a *Agent) confirmStopped(f *feed, update *wire.AgentUpdate) {
 	for job, ref := range f.cancelling {
 		running := false
 		for id, it := range a.items {
@@ -249,7 +249,7 @@
 			}
 		}
 		if !running {
-			up.Stopped = append(up.Stopped, ref)
+			update.Stopped = append(update.Stopped, ref)
 			delete(f.cancelling, job)
 		}
 	}
--- a/agent/item.go
+++ b/agent/item.go
@@ -65,8 +65,8 @@
 	p := a.partitions[id.partition]
 	if p == nil || g.GetRef().GetEpoch() < p.epoch || p.cancelledJobs[id.job] {
 		// An owner that was paused may grant items that a newer owner has granted
-		// elsewhere or whose job it has cancelled. The epoch and the list of
-		// cancelled jobs fence it off.
+		// to another agent or whose job it has cancelled. The epoch and the list
+		// of cancelled jobs fence it off.
 		return false
 	}
 	if a.items[id] != nil {
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// fetch downloads the weights of a model. It skips them when the model has had no
-// earlier version and the engine has loaded it already, as at its start.
+// fetch downloads the weights of a model. It does nothing for the first version of a
+// model that the engine has already loaded, because the engine was started with it.
 func (r *orderReconciler) fetch(ctx context.Context, m config.Model) error {
 	loaded, err := r.agent.cfg.Engine.Models(ctx)
 	if err != nil {
@@ -138,7 +138,8 @@
 	}
 	list, err := r.hosts.Hosts(ctx)
 	if err != nil {
-		// Without the host list, a model that has had an order here is kept.
+		// Without the host list the placement stays: only models that have had an
+		// order here count as placed.
 		return r.applied[m.Name] > 0
 	}
 	var agents []string
--- a/agent/request.go
+++ b/agent/request.go
@@ -17,12 +17,12 @@
 )
 
 // request is one online request at the agent. Agent.mu guards all fields except
-// answer, which has its own lock.
+// response, which has its own lock.
 type request struct {
 	start       *wire.Start
 	entry       *admission.Entry
 	lifecycle   *online.Lifecycle
-	answer      *online.Response
+	response    *online.Response
 	deadline    time.Time
 	running     bool
 	stop        context.CancelFunc // set while running
@@ -57,7 +57,7 @@
 		return
 	}
 	a.schedule()
-	a.streamAnswer(ctx, r, 0, st)
+	a.streamResponse(ctx, r, 0, st)
 }
 
 // admit queues a new request, or returns the existing one with the same ID. The caller
@@ -119,7 +119,7 @@
 	return &request{
 		start:     s,
 		lifecycle: online.NewLifecycle(),
-		answer:    online.NewResponse(s.GetId()),
+		response:  online.NewResponse(s.GetId()),
 		deadline:  deadline,
 		entry: &admission.Entry{
 			ID:        string(s.GetId()),
@@ -134,7 +134,7 @@
 }
 
 // addTombstoneLocked refuses an ID for TombstoneRetention. A delayed start must not run
-// after its caller has been told that the request did not run.
+// after the agent has reported that the request did not run.
 func (a *Agent) addTombstoneLocked(id string, ran wire.Ran) {
 	a.tombstones[id] = tombstone{until: time.Now().Add(a.cfg.TombstoneRetention), ran: ran}
 }
@@ -164,22 +164,22 @@
 		_ = st.Send(&wire.Frame{Id: at.GetId(), Kind: &wire.Frame_Failure{Failure: fail.ToWire()}})
 		return
 	}
-	a.streamAnswer(ctx, r, at.GetFromSeq(), st)
+	a.streamResponse(ctx, r, at.GetFromSeq(), st)
 }
 
-// streamAnswer sends the frames of an answer, beginning with seq, until the answer ends
-// or the reader leaves. A slow reader blocks only this goroutine.
-func (a *Agent) streamAnswer(ctx context.Context, r *request, seq uint64, st *link.Stream) {
+// streamResponse sends the frames of a response, beginning with seq, until the response
+// ends or the reader closes the stream. A slow reader blocks only this goroutine.
+func (a *Agent) streamResponse(ctx context.Context, r *request, seq uint64, st *link.Stream) {
 	defer a.removeReader(r)
-	readerGone := make(chan struct{})
+	readerClosed := make(chan struct{})
 	go func() {
-		defer close(readerGone)
+		defer close(readerClosed)
 		// The entry sends nothing more. Recv returns when the entry closes the
 		// stream or the session ends.
 		_ = st.Recv(&wire.Frame{})
 	}()
 	for {
-		frames, closed, changed := r.answer.FramesFrom(seq)
+		frames, closed, changed := r.response.FramesFrom(seq)
 		if len(frames) > 0 && st.SendFrames(frames) != nil {
 			return
 		}
@@ -192,7 +192,7 @@
 		}
 		select {
 		case <-changed:
-		case <-readerGone:
+		case <-readerClosed:
 			return
 		case <-ctx.Done():
 			return
@@ -236,7 +236,7 @@
 	if r.lifecycle.State() == online.Queued {
 		r.lifecycle.Fire(online.TriggerRevoke)
 		a.adm.Remove(time.Now(), r.entry)
-		r.answer.Fail(apierr.New(apierr.CodeNotRun, "revoked before it started").ToWire())
+		r.response.Fail(apierr.New(apierr.CodeNotRun, "revoked before it started").ToWire())
 		r.finishedAt = time.Now()
 		return wire.Ran_RAN_NO
 	}
@@ -246,14 +246,14 @@
 	return r.lifecycle.Ran()
 }
 
-// sweepRequest replaces an expired answer by a tombstone and stops a running request
+// sweepRequest replaces an expired response by a tombstone and stops a running request
 // that has had no reader for OrphanTimeout, unless it is non-idempotent. Agent.mu must
 // be held.
 func (a *Agent) sweepRequest(now time.Time, id string, r *request) {
 	if !r.finishedAt.IsZero() {
-		keep := a.cfg.AnswerRetention
+		keep := a.cfg.ResponseRetention
 		if r.start.GetKeepAnswer() {
-			keep = a.cfg.KeyedAnswerRetention
+			keep = a.cfg.KeyedResponseRetention
 		}
 		if r.readers == 0 && now.After(r.finishedAt.Add(keep)) {
 			delete(a.requests, id)
@@ -273,9 +273,9 @@
 	defer cancel()
 	a.mu.Lock()
 	r.stop = cancel
-	stopped := r.revoked
+	revoked := r.revoked
 	a.mu.Unlock()
-	if stopped {
+	if revoked {
 		cancel()
 	}
 	start := time.Now()
@@ -299,10 +299,10 @@
 	svc := a.cfg.Services[r.start.GetService()]
 	status, contentType, reply, err := svc.Do(ctx, r.start.GetMethod(), r.start.GetPath(), r.start.GetBody())
 	if err != nil {
-		r.answer.Fail(apierr.MaybeExecuted(apierr.CodeOutcomeUnknown, "service call failed: %v", err).ToWire())
+		r.response.Fail(apierr.MaybeExecuted(apierr.CodeOutcomeUnknown, "service call failed: %v", err).ToWire())
 		return
 	}
-	r.answer.End(string(reply), 0, &wire.End{Status: uint32(status), ContentType: contentType})
+	r.response.End(string(reply), 0, &wire.End{Status: uint32(status), ContentType: contentType})
 }
 
 func (a *Agent) runModel(ctx context.Context, r *request) {
@@ -314,7 +314,7 @@
 		ResumeFrom: r.start.GetResumeFrom(),
 	})
 	if err != nil {
-		r.answer.Fail(engineFailure(ctx, err, wire.Ran_RAN_NO).ToWire())
+		r.response.Fail(engineFailure(ctx, err, wire.Ran_RAN_NO).ToWire())
 		return
 	}
 	defer stream.Cancel()
@@ -322,15 +322,15 @@
 	for {
 		c, err := stream.Next(ctx)
 		if err != nil {
-			r.answer.Fail(engineFailure(ctx, err, wire.Ran_RAN_YES).ToWire())
+			r.response.Fail(engineFailure(ctx, err, wire.Ran_RAN_YES).ToWire())
 			return
 		}
-		last = a.recordChunk(r.entry, last, r.answer.Tokens())
+		last = a.recordChunk(r.entry, last, r.response.Tokens())
 		if c.FinishReason != "" {
-			r.answer.End(c.Text, c.Tokens, &wire.End{FinishReason: c.FinishReason, PromptTokens: c.PromptTokens})
+			r.response.End(c.Text, c.Tokens, &wire.End{FinishReason: c.FinishReason, PromptTokens: c.PromptTokens})
 			return
 		}
-		r.answer.Add(c.Text, c.Tokens)
+		r.response.Add(c.Text, c.Tokens)
 	}
 }
 
