--- a/ledger/dispatch.go
+++ b/ledger/dispatch.go
@@ -15,7 +15,7 @@
 // maxGrantsPerMessage bounds the items in one message to an agent.
 const maxGrantsPerMessage = 256
 
-// nextGrants picks items for an agent that asked for work, records the start of
+// nextGrants picks items for an agent that wants items, records the start of
 // non-idempotent ones and reads their payloads. It grants nothing during the
 // grace period after a takeover, while the result buffer is full, or on a drain.
 func (o *Owner) nextGrants(ctx context.Context, f *feed) []*wire.Grant {
@@ -45,7 +45,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
-	if !o.owned() || o.draining || !f.declared || f.leaving || f.want <= 0 {
+	if !o.owned() || o.draining || !f.declared || f.draining || f.want <= 0 {
 		return nil
 	}
 	if now.Sub(o.takenOverAt) < o.cfg.GracePeriod || o.bufferedBytes >= o.cfg.MaxBufferedBytes {
@@ -228,7 +228,7 @@
 const logReadTimeout = 3 * time.Second
 
 // readRecord returns the data of the record at an offset. It fails with
-// CodeLogDown when the log cannot be read.
+// CodeLogUnavailable when the log cannot be read.
 func readRecord(ctx context.Context, log infra.Log, stream string, offset uint64) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, logReadTimeout)
 	defer cancel()
--- a/ledger/feed.go
+++ b/ledger/feed.go
@@ -37,15 +37,15 @@
 	closeOnce sync.Once
 
 	// Guarded by Owner.mu.
-	want        int      // items that the agent asked for and was not granted yet
+	want        int      // items that the agent requested and was not granted yet
 	models      []string // models that the agent serves
 	incarnation string
-	declared    bool // the agent has named all that it holds of the partition
-	leaving     bool
+	declared    bool // the agent has listed the items that it holds of the partition
+	draining    bool
 }
 
 // feedKeepalive is the longest time between two messages to an agent. It must be
-// well below the lease that an agent takes from each message.
+// well below the agent's LeaseTimeout, after which it starts no more queued items.
 const feedKeepalive = time.Second
 
 // Attach serves the batch stream to an agent until the stream or ctx ends.
@@ -219,7 +219,7 @@
 		return
 	}
 	f.models = m.GetModels()
-	f.leaving = m.GetLeaving()
+	f.draining = m.GetLeaving()
 	o.reconcileHeld(f, m)
 	o.handleItems(f, m)
 	for _, ref := range m.GetStopped() {
@@ -260,8 +260,8 @@
 
 // reconcileHeld compares the items that an agent holds with the granted ones.
 // It adopts held items. Granted items that the agent does not hold were lost on
-// the way or with an earlier run of the agent, and are queued again. Owner.mu
-// must be held.
+// the way or with an earlier incarnation of the agent, and are queued again.
+// Owner.mu must be held.
 func (o *Owner) reconcileHeld(f *feed, m *wire.AgentUpdate) {
 	declared := false
 	for _, p := range m.GetDeclared() {
@@ -338,7 +338,7 @@
 	}
 }
 
-// Reasons of items that are recorded as failed without an answer of an engine.
+// Reasons of items that are recorded as failed without a response of an engine.
 const (
 	ReasonTargetLost     = "target lost repeatedly while the item ran alone"
 	ReasonOutcomeUnknown = "outcome unknown"
--- a/ledger/lease.go
+++ b/ledger/lease.go
@@ -41,7 +41,7 @@
 	if !due {
 		return nil
 	}
-	began := time.Now()
+	start := time.Now()
 	err := o.stream.ReadToTail(ctx)
 	if err != nil && !errors.Is(err, infra.ErrUnavailable) {
 		return err
@@ -49,7 +49,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err == nil {
-		o.caughtUpAt = began
+		o.caughtUpAt = start
 	}
 	if !o.owned() {
 		return errSuperseded
--- a/ledger/maintain.go
+++ b/ledger/maintain.go
@@ -15,17 +15,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A snapshot that is older than this part of the retention is written again,
-// even if few records followed it.
+// snapshotRetentionDivisor sets the oldest age of a snapshot, as the retention
+// divided by it. A snapshot of that age is replaced even if few records followed
+// it.
 const snapshotRetentionDivisor = 4
 
-// Records that are still needed are carried forward when they are older than
-// this part of the retention.
+// carryRetentionDivisor sets the age above which needed records are carried
+// forward, as the retention divided by it.
 const carryRetentionDivisor = 2
 
-// maintain writes a snapshot when one is due or requested, and before it carries
-// forward old records that are still needed. While the log does not answer, it
-// waits for it as flush does.
+// maintain writes a snapshot when one is due or requested. Before the snapshot it
+// carries forward old records that are still needed. Like flush, it blocks while
+// the log does not answer.
 func (o *Owner) maintain(ctx context.Context) error {
 	o.mu.Lock()
 	behind := o.partition.Next() - o.snapshotOffset
--- a/ledger/manager.go
+++ b/ledger/manager.go
@@ -20,7 +20,7 @@
 	log logging.Logger
 
 	mu         sync.Mutex
-	candidates []string // live entries that are not leaving, sorted
+	candidates []string // live entries that are not draining, sorted
 	alive      []string // all live entries
 	// proposed is the owner of each partition by rendezvous hashing over
 	// candidates. It is computed only when candidates changes, because with 340
@@ -28,7 +28,7 @@
 	proposed      []string
 	owners        map[uint32]*runningOwner
 	proposedSince map[uint32]time.Time // when this node became the proposed owner
-	leaving       bool
+	draining      bool
 	onStart       func(ctx context.Context, o *Owner)
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// SetEntries sets the live entries, and those of them that are not leaving and
+// SetEntries sets the live entries, and those of them that are not draining and
 // may own partitions.
 func (m *Manager) SetEntries(alive, candidates []string) {
 	candidates = slices.Clone(candidates)
@@ -135,7 +135,7 @@
 func (m *Manager) reconcile(ctx context.Context, partition uint32) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	proposed := !m.leaving && m.proposedLocked(partition) == m.cfg.Node
+	proposed := !m.draining && m.proposedLocked(partition) == m.cfg.Node
 	r := m.owners[partition]
 	switch {
 	case !proposed:
@@ -177,7 +177,7 @@
 func (m *Manager) mayTakeOver(partition uint32, holder string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.leaving || m.proposedLocked(partition) != m.cfg.Node {
+	if m.draining || m.proposedLocked(partition) != m.cfg.Node {
 		return false
 	}
 	if holder == "" || holder == m.cfg.Node || !slices.Contains(m.alive, holder) {
@@ -191,7 +191,7 @@
 // ends.
 func (m *Manager) Leave(ctx context.Context) {
 	m.mu.Lock()
-	m.leaving = true
+	m.draining = true
 	m.mu.Unlock()
 	for _, o := range m.Owners() {
 		o.Release()
--- a/ledger/owner.go
+++ b/ledger/owner.go
@@ -48,8 +48,8 @@
 	// MaxBufferedBytes is the size in bytes of results that are not durable yet at
 	// which dispatch stops, default 32 MiB.
 	MaxBufferedBytes int
-	// Grace is how long a new owner waits for agents to report what they hold
-	// before it grants items, default 1 s.
+	// GracePeriod is how long a new owner waits for agents to report what they
+	// hold before it grants items, default 1 s.
 	GracePeriod time.Duration
 	// AgentLostAfter is how long a disconnected agent keeps its items, default
 	// 5 s.
@@ -73,27 +73,27 @@
 
 // Defaults of Config.
 const (
-	defaultRecordLimit    = 1 << 20
-	defaultCommitEvery    = 20 * time.Millisecond
-	defaultResultsEvery   = 6 * time.Second
-	defaultFinishEvery    = 100 * time.Millisecond
-	defaultResultsBytes   = 256 << 10
-	defaultMaxBuffered    = 32 << 20
-	defaultGrace          = time.Second
-	defaultAgentLostAfter = 5 * time.Second
-	defaultInDoubtAfter   = 10 * time.Second
-	defaultSnapshotEvery  = 2000
-	defaultRetention      = 24 * time.Hour
+	defaultRecordLimit      = 1 << 20
+	defaultCommitEvery      = 20 * time.Millisecond
+	defaultResultsEvery     = 6 * time.Second
+	defaultFinishDelay      = 100 * time.Millisecond
+	defaultResultsBytes     = 256 << 10
+	defaultMaxBufferedBytes = 32 << 20
+	defaultGracePeriod      = time.Second
+	defaultAgentLostAfter   = 5 * time.Second
+	defaultInDoubtAfter     = 10 * time.Second
+	defaultSnapshotEvery    = 2000
+	defaultRetention        = 24 * time.Hour
 )
 
 func (c Config) withDefaults() Config {
 	defaults.Set(&c.RecordLimit, defaultRecordLimit)
 	defaults.Set(&c.CommitEvery, defaultCommitEvery)
 	defaults.Set(&c.ResultsEvery, defaultResultsEvery)
-	defaults.Set(&c.FinishDelay, defaultFinishEvery)
+	defaults.Set(&c.FinishDelay, defaultFinishDelay)
 	defaults.Set(&c.ResultsBytes, defaultResultsBytes)
-	defaults.Set(&c.MaxBufferedBytes, defaultMaxBuffered)
-	defaults.Set(&c.GracePeriod, defaultGrace)
+	defaults.Set(&c.MaxBufferedBytes, defaultMaxBufferedBytes)
+	defaults.Set(&c.GracePeriod, defaultGracePeriod)
 	defaults.Set(&c.AgentLostAfter, defaultAgentLostAfter)
 	defaults.Set(&c.InDoubtAfter, defaultInDoubtAfter)
 	defaults.Set(&c.SnapshotEvery, defaultSnapshotEvery)
@@ -137,7 +137,7 @@
 	cancels         map[batch.JobID]*cancelWait
 	results         map[batch.JobID][]*wire.Outcome // not appended yet
 	resultAcks      map[batch.JobID][]resultAck     // parallel to results
-	pendingOutcomes map[batch.ItemKey]string        // item whose outcome is not durable yet -> agent that holds it
+	pendingOutcomes map[batch.ItemKey]string        // agent that holds each non-durable outcome
 	// incarnations holds the last known incarnation of each agent, to detect a
 	// restart.
 	incarnations     map[string]string
--- a/ledger/owner_test.go
+++ b/ledger/owner_test.go
@@ -18,27 +18,27 @@
 // fakeAgent completes every grant immediately. Its results have no custom_id, so
 // that the owner has to add it.
 type fakeAgent struct {
-	up       chan *wire.AgentUpdate
+	updates  chan *wire.AgentUpdate
 	done     chan struct{}
 	once     sync.Once
 	declared bool
 }
 
 func newFakeAgent() *fakeAgent {
-	return &fakeAgent{up: make(chan *wire.AgentUpdate, 1024), done: make(chan struct{})}
+	return &fakeAgent{updates: make(chan *wire.AgentUpdate, 1024), done: make(chan struct{})}
 }
 
 func (a *fakeAgent) Send(m *wire.OwnerUpdate) error {
-	up := &wire.AgentUpdate{Models: []string{"m"}, Want: proto.Uint32(256)}
+	update := &wire.AgentUpdate{Models: []string{"m"}, Want: proto.Uint32(256)}
 	if !a.declared {
 		a.declared = true
-		up.Declared = []uint32{0}
+		update.Declared = []uint32{0}
 	}
 	for _, g := range m.GetGrants() {
-		up.Results = append(up.Results, &wire.ItemResult{Ref: g.GetRef(), Ok: true, Text: []byte("short")})
+		update.Results = append(update.Results, &wire.ItemResult{Ref: g.GetRef(), Ok: true, Text: []byte("short")})
 	}
 	select {
-	case a.up <- up:
+	case a.updates <- update:
 		return nil
 	case <-a.done:
 		return ErrStreamClosed
@@ -47,8 +47,8 @@
 
 func (a *fakeAgent) Recv(m *wire.AgentUpdate) error {
 	select {
-	case up := <-a.up:
-		proto.Merge(m, up)
+	case update := <-a.updates:
+		proto.Merge(m, update)
 		return nil
 	case <-a.done:
 		return ErrStreamClosed
--- a/ledger/recover.go
+++ b/ledger/recover.go
@@ -176,8 +176,8 @@
 	}
 	o.snapshotOffset = o.partition.Next()
 	// Makes the first round of the writer write a snapshot and carry forward old
-	// records. No one has done so since the previous owner stopped, and records
-	// near the end of the retention cannot wait for another interval.
+	// records. These are overdue since the previous owner stopped, and records near
+	// the end of the retention cannot wait for another interval.
 	o.snapshotTime = time.Time{}
 	o.dispatcher = batch.NewDispatcher(o.cfg.Limits)
 	o.partition.Jobs(func(j *batch.Job) bool {
