--- a/batch/dispatcher.go
+++ b/batch/dispatcher.go
@@ -310,7 +310,7 @@
 	return slices.Compare(a.job.ID[:], b.job.ID[:]) < 0
 }
 
-// Verdict says what happens to an item after an execution was reported.
+// Verdict is the consequence of a reported execution for its item.
 type Verdict int
 
 // The verdicts.
--- a/batch/partition.go
+++ b/batch/partition.go
@@ -44,7 +44,7 @@
 	return uint32(len(f.chunks))
 }
 
-// ChunkOffset returns where a chunk is on the log.
+// ChunkOffset returns the log offset of a chunk, false if it is not stored.
 func (f *File) ChunkOffset(number uint32) (uint64, bool) {
 	if int(number) >= len(f.chunks) || !f.chunks[number].known {
 		return 0, false
@@ -96,7 +96,7 @@
 // Epoch returns the current ownership epoch, 0 before the first takeover.
 func (p *Partition) Epoch() uint64 { return p.epoch }
 
-// Owner returns the owner's name, or an empty string if no one owns the partition.
+// Owner returns the owner's name, or an empty string if the partition has no owner.
 func (p *Partition) Owner() string {
 	if p.released {
 		return ""
--- a/batch/seed_test.go
+++ b/batch/seed_test.go
@@ -2,8 +2,8 @@
 
 import "flag"
 
-// Fixes the seed of property tests, so that every run draws the same values unless
-// -rapid.seed is given.
+// init fixes the seed of rapid, so that runs are reproducible. The flag -rapid.seed
+// overrides it.
 func init() {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
--- a/batch/snapshot.go
+++ b/batch/snapshot.go
@@ -244,7 +244,7 @@
 	id    uint64
 }
 
-// NewSnapshotFinder returns an empty Finder.
+// NewSnapshotFinder returns an empty SnapshotFinder.
 func NewSnapshotFinder() *SnapshotFinder {
 	return &SnapshotFinder{parts: make(map[snapshotKey][][]byte)}
 }
@@ -270,16 +270,16 @@
 	if part.GetParts() > maxSnapshotParts || part.GetPart() >= part.GetParts() {
 		return
 	}
-	got := f.parts[key]
-	if got == nil {
-		got = make([][]byte, part.GetParts())
-		f.parts[key] = got
+	parts := f.parts[key]
+	if parts == nil {
+		parts = make([][]byte, part.GetParts())
+		f.parts[key] = parts
 	}
-	if int(part.GetPart()) >= len(got) {
+	if int(part.GetPart()) >= len(parts) {
 		return
 	}
-	got[part.GetPart()] = part.GetData()
-	for _, data := range got {
+	parts[part.GetPart()] = part.GetData()
+	for _, data := range parts {
 		if data == nil {
 			return
 		}
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -30,7 +30,7 @@
 // Stream is a running generation.
 type Stream interface {
 	// Next waits for the next chunk. It must not be called again after the chunk in
-	// which Finish is set.
+	// which FinishReason is set.
 	Next(ctx context.Context) (Chunk, error)
 	// Cancel stops the generation within one engine step. It may be called at any
 	// time and repeatedly.
--- a/oplog/oplog.go
+++ b/oplog/oplog.go
@@ -86,7 +86,7 @@
 	delete(d.writers, oldest)
 }
 
-// Snapshot returns the state for a partition snapshot.
+// Snapshot returns the state in the form for a snapshot of the fold.
 func (d *Dedupe) Snapshot() []*wire.WriterState {
 	out := make([]*wire.WriterState, 0, len(d.writers))
 	for inc, last := range d.writers {
--- a/oplog/writer.go
+++ b/oplog/writer.go
@@ -216,8 +216,8 @@
 	}
 }
 
-// waitRetry waits before the next attempt: for the time that a throttling log
-// asked for, or else for RetryInterval.
+// waitRetry waits before the next attempt: for the retry-after of a throttled call,
+// or else for RetryInterval.
 func (s *Stream) waitRetry(ctx context.Context, cause error) error {
 	d := s.RetryInterval
 	var throttled *infra.ThrottledError
--- a/settings/daemons.go
+++ b/settings/daemons.go
@@ -117,7 +117,7 @@
 	// Default 20ms.
 	CommitEvery Duration `json:"commit_every"`
 	// ResultsEvery is how long batch results are collected before they are appended.
-	// The last results of a job are appended at once. Default 6s.
+	// Results that complete a job wait only 100 ms. Default 6s.
 	ResultsEvery Duration `json:"results_every"`
 	// Retention is how long the platform's log keeps records. Default 24h.
 	Retention Duration `json:"retention"`
@@ -155,7 +155,7 @@
 	Listen     string            `json:"listen"`      // ip:port for entries
 	Metrics    string            `json:"metrics"`     // ip:port for /metrics and health
 	Platform   string            `json:"platform"`    // URL of the platform's services
-	Engine     string            `json:"engine"`      // URL of the model engine, empty if there is none
+	Engine     string            `json:"engine"`      // URL of the model engine, empty if none
 	Services   map[string]string `json:"services"`    // URLs of plain services by name
 	Seats      int               `json:"seats"`       // sequences that the engine runs in one step
 	KVBlocks   int               `json:"kv_blocks"`   // KV blocks of 16 tokens, 0 for no limit
