--- a/bench/ledger.go
+++ b/bench/ledger.go
@@ -18,7 +18,8 @@
 	"pumiceford/wire"
 )
 
-// LedgerLine is one measurement of the ledger or of the naive baseline.
+// LedgerLine is one measurement of the ledger or of the naive baseline. Its name is a
+// value in the JSON output of pumice-bench.
 type LedgerLine struct {
 	Name                string  `json:"name"`
 	Items               int     `json:"items"`
@@ -56,11 +57,11 @@
 // item, on logs of the same latency.
 func RunLedger(ctx context.Context) (Ledger, error) {
 	var out Ledger
-	full, err := ledgerRun(ctx, "ledger, unpaced", ledgerItems, 0)
+	full, err := ledgerRun(ctx, "ledger, as fast as it goes", ledgerItems, 0)
 	if err != nil {
 		return out, err
 	}
-	paced, err := ledgerRun(ctx, "ledger, paced at the load of one owner", ownerItemRate*pacedSeconds, ownerItemRate)
+	paced, err := ledgerRun(ctx, "ledger, at the letter's rate for one owner", ownerItemRate*pacedSeconds, ownerItemRate)
 	if err != nil {
 		return out, err
 	}
@@ -87,8 +88,8 @@
 	declared bool
 }
 
-func newInstantAgent(pace float64) *instantAgent {
-	return &instantAgent{up: make(chan *wire.AgentUpdate, 1024), done: make(chan struct{}), rate: pace, result: make([]byte, ledgerResult)}
+func newInstantAgent(rate float64) *instantAgent {
+	return &instantAgent{up: make(chan *wire.AgentUpdate, 1024), done: make(chan struct{}), rate: rate, result: make([]byte, ledgerResult)}
 }
 
 // Send implements ledger.AgentStream.
@@ -144,7 +145,7 @@
 	return line
 }
 
-func ledgerRun(ctx context.Context, name string, items int, pace float64) (LedgerLine, error) {
+func ledgerRun(ctx context.Context, name string, items int, rate float64) (LedgerLine, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	log := standin.NewLog(standin.LogSettings{Latency: ledgerLatency})
@@ -158,7 +159,7 @@
 	}
 	appends, bytes := log.AppendCounts()
 	began := time.Now()
-	go o.Attach(ctx, "agent", newInstantAgent(pace))
+	go o.Attach(ctx, "agent", newInstantAgent(rate))
 	if err := waitJob(ctx, o); err != nil {
 		return LedgerLine{}, err
 	}
@@ -280,7 +281,7 @@
 	appends, bytes := log.AppendCounts()
 	n := float64(items)
 	line := LedgerLine{
-		Name: "naive ledger, one record per item", Items: items, ItemsPerSecond: n / took.Seconds(),
+		Name: "naive: a record for each item", Items: items, ItemsPerSecond: n / took.Seconds(),
 		AppendsPer1000Items: float64(appends) / n * 1000, LogBytesPerItem: float64(bytes) / n,
 	}
 	return line, nil
--- a/bench/load/batch.go
+++ b/bench/load/batch.go
@@ -9,29 +9,29 @@
 )
 
 // yield ends an item's run and gives its seat back. The item keeps its progress.
-func (r *replay) yield(w *work, seat uint64) {
+func (s *simulation) yield(w *work, seat uint64) {
 	if w.seat != seat {
 		return // the run has ended already
 	}
 	if w.running {
-		w.remaining = max(w.remaining-w.target.unslowed(r.now.Sub(w.started)), time.Millisecond)
+		w.remaining = max(w.remaining-w.target.unslowed(s.now.Sub(w.started)), time.Millisecond)
 	}
-	r.out.SeatsYielded++
+	s.out.SeatsYielded++
 	w.target.releaseSeat(w)
-	r.withdraw(w)
+	s.withdraw(w)
 	w.entry.batch = append(w.entry.batch, w)
 }
 
 // dispatch starts the items that wait at an entry as far as agents grant seats.
-func (r *replay) dispatch(e *entry) {
-	r.after(dispatchInterval, func() { r.dispatch(e) })
+func (s *simulation) dispatch(e *entry) {
+	s.after(dispatchInterval, func() { s.dispatch(e) })
 	rank := func(w *work) schedule.Item {
-		return schedule.Item{Due: w.due, Remaining: w.remaining, Started: w.remaining < r.scenario.RunTime}
+		return schedule.Item{Due: w.due, Remaining: w.remaining, Started: w.remaining < s.scenario.RunTime}
 	}
-	slices.SortStableFunc(e.batch, func(a, b *work) int { return schedule.Compare(r.now, rank(a), rank(b)) })
+	slices.SortStableFunc(e.batch, func(a, b *work) int { return schedule.Compare(s.now, rank(a), rank(b)) })
 	for len(e.batch) > 0 {
 		w := e.batch[0]
-		if !r.acquireSeat(e, w, rank(w).YieldDue(r.now)) {
+		if !s.acquireSeat(e, w, rank(w).YieldDue(s.now)) {
 			return
 		}
 		e.batch = e.batch[1:]
@@ -40,20 +40,20 @@
 
 // acquireSeat requests a seat for an item from the agents, most suitable target first,
 // and starts the item at the first that grants one.
-func (r *replay) acquireSeat(e *entry, w *work, due time.Time) bool {
-	candidates := e.table.BatchTargets(r.now, "s")
-	if seats.Urgent(r.now, due) {
-		candidates = e.table.UrgentBatchTargets(r.now, "s")
+func (s *simulation) acquireSeat(e *entry, w *work, due time.Time) bool {
+	candidates := e.table.BatchTargets(s.now, "s")
+	if seats.Urgent(s.now, due) {
+		candidates = e.table.UrgentBatchTargets(s.now, "s")
 	}
 	for _, c := range candidates {
-		t := r.byID[c.Instance.ID]
-		seat, granted := t.arbiter.Acquire(r.now, due)
+		t := s.byID[c.Instance.ID]
+		seat, granted := t.arbiter.Acquire(s.now, due)
 		e.table.RecordSeatReply(t.id, granted)
 		if granted {
 			w.target, w.seat = t, seat
 			t.workBySeat[seat] = w
-			e.table.BatchStarted(r.now, t.id)
-			r.submit(w)
+			e.table.BatchStarted(s.now, t.id)
+			s.submit(w)
 			return true
 		}
 	}
--- a/bench/load/load.go
+++ b/bench/load/load.go
@@ -35,10 +35,11 @@
 // Policy configures the placement of work.
 type Policy struct {
 	Name string
-	// NoLoadReports: an entry knows only its own requests.
+	// NoLoadReports leaves each entry with the counts of its own requests only.
 	NoLoadReports bool
 	// NaiveForwarding sends work to the target with the fewest requests of the same
-	// entry, without limits or moves, and treats batch items as online requests.
+	// entry, without limits or moves. It treats batch items as online requests, as a
+	// forwarder without batch support does.
 	NaiveForwarding bool
 	// AlwaysMove moves every waiting request as soon as any other target has a free slot.
 	AlwaysMove bool
@@ -57,17 +58,18 @@
 	// MinRetryAfter and MaxRetryAfter bound the time after which a refused caller retries
 	// once; with a MaxRetryAfter of 0 it does not retry.
 	MinRetryAfter, MaxRetryAfter time.Duration
-	// IgnoreIdleConns: the balancer does not learn of idle connections.
+	// IgnoreIdleConns hides idle connections from the balancer, as if none were kept
+	// open.
 	IgnoreIdleConns bool
 }
 
-// The policies that pumice-bench compares.
+// The policies that pumice-bench compares. Their names are values in its JSON output.
 var (
-	AllReports = Policy{Name: "all load reports"}
+	AllReports = Policy{Name: "agents grant seats"}
 	// RefuseLate matches the product: it also refuses requests that would be late.
-	RefuseLate     = Policy{Name: "refuse late requests", MaxWatched: 16, MinReportInterval: 50 * time.Millisecond, ReserveSlots: true, MaxWait: 120 * time.Millisecond, MinRetryAfter: 800 * time.Millisecond, MaxRetryAfter: 1600 * time.Millisecond}
-	PartialReports = Policy{Name: "partial load reports", MaxWatched: 16, MinReportInterval: 50 * time.Millisecond, ReserveSlots: true}
-	NoReports      = Policy{Name: "no load reports", NoLoadReports: true}
+	RefuseLate     = Policy{Name: "late ones come back", MaxWatched: 16, MinReportInterval: 50 * time.Millisecond, ReserveSlots: true, MaxWait: 120 * time.Millisecond, MinRetryAfter: 800 * time.Millisecond, MaxRetryAfter: 1600 * time.Millisecond}
+	PartialReports = Policy{Name: "part is told", MaxWatched: 16, MinReportInterval: 50 * time.Millisecond, ReserveSlots: true}
+	NoReports      = Policy{Name: "entries alone", NoLoadReports: true}
 	NaiveForwarder = Policy{Name: "naive forwarder", NaiveForwarding: true}
 )
 
--- a/bench/load/load_test.go
+++ b/bench/load/load_test.go
@@ -43,10 +43,10 @@
 	t.Parallel()
 	for _, scenario := range []load.Scenario{load.Fleet9, load.Fleet18, load.Fleet56} {
 		scenario = withoutBatch(shortened(scenario))
-		seats, alone := load.Run(scenario, load.AllReports, 1), load.Run(scenario, load.NoReports, 1)
-		t.Logf("\n%s\n%s", seats, alone)
-		if seats.Late*5 > alone.Late {
-			t.Errorf("%s: %d late with load reports, %d without; want at most a fifth", scenario.Name, seats.Late, alone.Late)
+		with, without := load.Run(scenario, load.AllReports, 1), load.Run(scenario, load.NoReports, 1)
+		t.Logf("\n%s\n%s", with, without)
+		if with.Late*5 > without.Late {
+			t.Errorf("%s: %d late with load reports, %d without; want at most a fifth", scenario.Name, with.Late, without.Late)
 		}
 	}
 }
--- a/bench/load/online.go
+++ b/bench/load/online.go
@@ -11,104 +11,104 @@
 const maxReserveTries = 6
 
 // send places an online request. Under NaiveForwarding it also places batch items.
-func (r *replay) send(w *work) {
-	if r.policy.ReserveSlots {
-		r.reserve(w, nil)
+func (s *simulation) send(w *work) {
+	if s.policy.ReserveSlots {
+		s.reserve(w, nil)
 		return
 	}
-	id, ok := r.choose(w)
-	r.sendTo(w, id, ok)
+	id, ok := s.choose(w)
+	s.sendTo(w, id, ok)
 }
 
-func (r *replay) sendTo(w *work, id string, ok bool) {
+func (s *simulation) sendTo(w *work, id string, ok bool) {
 	if !ok {
-		r.refuse(w)
+		s.refuse(w)
 		return
 	}
-	w.target = r.byID[id]
-	w.entry.table.OnlineStarted(r.now, id)
-	if w.target.active >= r.scenario.Slots {
-		r.out.QueuedAtTarget++
+	w.target = s.byID[id]
+	w.entry.table.OnlineStarted(s.now, id)
+	if w.target.active >= s.scenario.Slots {
+		s.out.QueuedAtTarget++
 	}
-	r.submit(w)
-	if !r.policy.NaiveForwarding {
+	s.submit(w)
+	if !s.policy.NaiveForwarding {
 		placement := w.placement
-		r.after(firstMoveCheck, func() { r.checkMove(w, placement) })
+		s.after(firstMoveCheck, func() { s.checkMove(w, placement) })
 	}
 }
 
 // refuse refuses a request. Its caller retries at most once.
-func (r *replay) refuse(w *work) {
-	r.out.Refused++
-	if w.retried || r.policy.MaxRetryAfter == 0 {
-		r.out.NotServed++
+func (s *simulation) refuse(w *work) {
+	s.out.Refused++
+	if w.retried || s.policy.MaxRetryAfter == 0 {
+		s.out.NotServed++
 		return
 	}
 	w.retried = true
-	spread := r.policy.MaxRetryAfter - r.policy.MinRetryAfter
-	r.after(r.policy.MinRetryAfter+time.Duration(r.choiceRand.Float64()*float64(spread)), func() {
-		w.arrived = r.now
-		r.send(w)
+	spread := s.policy.MaxRetryAfter - s.policy.MinRetryAfter
+	s.after(s.policy.MinRetryAfter+time.Duration(s.choiceRand.Float64()*float64(spread)), func() {
+		w.arrived = s.now
+		s.send(w)
 	})
 }
 
 // accepts reports whether a request is admitted with the estimated wait of a choice.
-func (r *replay) accepts(w *work, c balance.Choice) bool {
-	if w.retried || r.policy.MaxWait == 0 {
+func (s *simulation) accepts(w *work, c balance.Choice) bool {
+	if w.retried || s.policy.MaxWait == 0 {
 		return c.QueueBelowLimit()
 	}
-	return c.FreeWithin(r.policy.MaxWait)
+	return c.FreeWithin(s.policy.MaxWait)
 }
 
-// reserve tries targets one after the other until one reserves a slot for a request, as
-// an entry does. The keys of asked are the targets tried so far.
-func (r *replay) reserve(w *work, asked map[string]bool) {
+// reserve asks targets one after the other until one reserves a slot for a request, as an
+// entry does. The keys of tried are the targets asked so far.
+func (s *simulation) reserve(w *work, tried map[string]bool) {
 	table := w.entry.table
-	if len(asked) == maxReserveTries {
-		c, ok := table.PickReported(r.now, "s", asked, r.choiceRand.Float64())
-		r.sendTo(w, c.Instance.ID, ok && r.accepts(w, c))
+	if len(tried) == maxReserveTries {
+		c, ok := table.PickReported(s.now, "s", tried, s.choiceRand.Float64())
+		s.sendTo(w, c.Instance.ID, ok && s.accepts(w, c))
 		return
 	}
-	c, ok := table.Pick(r.now, "s", asked, r.choiceRand.Float64())
+	c, ok := table.Pick(s.now, "s", tried, s.choiceRand.Float64())
 	if !ok || !c.ShouldReserve() {
-		r.sendTo(w, c.Instance.ID, ok && r.accepts(w, c))
+		s.sendTo(w, c.Instance.ID, ok && s.accepts(w, c))
 		return
 	}
-	table.OnlineStarted(r.now, c.Instance.ID)
-	t := r.byID[c.Instance.ID]
-	granted := t.active+t.reservedSlots < r.scenario.Slots && len(t.queue) == 0
+	table.OnlineStarted(s.now, c.Instance.ID)
+	t := s.byID[c.Instance.ID]
+	granted := t.active+t.reservedSlots < s.scenario.Slots && len(t.queue) == 0
 	if granted {
 		t.reservedSlots++
 	}
-	r.after(reserveTime, func() {
-		table.OnlineEnded(r.now, t.id, true)
+	s.after(reserveTime, func() {
+		table.OnlineEnded(s.now, t.id, true)
 		if granted {
 			w.reserved = true
-			r.sendTo(w, t.id, true)
+			s.sendTo(w, t.id, true)
 			return
 		}
 		table.ReserveFailed(t.id)
 		next := map[string]bool{t.id: true}
-		maps.Copy(next, asked)
-		r.reserve(w, next)
+		maps.Copy(next, tried)
+		s.reserve(w, next)
 	})
 }
 
-func (r *replay) choose(w *work) (string, bool) {
-	if r.policy.NaiveForwarding {
-		return r.leastRequests(w.entry), true
+func (s *simulation) choose(w *work) (string, bool) {
+	if s.policy.NaiveForwarding {
+		return s.leastRequests(w.entry), true
 	}
-	c, _ := w.entry.table.Pick(r.now, "s", nil, r.choiceRand.Float64())
-	return c.Instance.ID, r.accepts(w, c)
+	c, _ := w.entry.table.Pick(s.now, "s", nil, s.choiceRand.Float64())
+	return c.Instance.ID, s.accepts(w, c)
 }
 
 // leastRequests returns the target with the fewest requests of an entry. It starts at a
 // random target to break ties.
-func (r *replay) leastRequests(e *entry) string {
-	first := r.choiceRand.IntN(len(r.targets))
-	best := r.targets[first].id
-	for i := range r.targets {
-		if id := r.targets[(first+i)%len(r.targets)].id; e.ownRequests[id] < e.ownRequests[best] {
+func (s *simulation) leastRequests(e *entry) string {
+	first := s.choiceRand.IntN(len(s.targets))
+	best := s.targets[first].id
+	for i := range s.targets {
+		if id := s.targets[(first+i)%len(s.targets)].id; e.ownRequests[id] < e.ownRequests[best] {
 			best = id
 		}
 	}
@@ -117,19 +117,19 @@
 
 // checkMove moves a waiting request to another target if the balancer advises it, and
 // repeats until the first event.
-func (r *replay) checkMove(w *work, placement int) {
+func (s *simulation) checkMove(w *work, placement int) {
 	if w.placement != placement || w.gotFirstEvent {
 		return
 	}
-	draw := r.choiceRand.Float64()
-	if r.policy.AlwaysMove {
+	draw := s.choiceRand.Float64()
+	if s.policy.AlwaysMove {
 		draw = 0
 	}
-	if w.entry.table.ShouldMove(r.now, "s", w.target.id, draw) {
-		r.out.Moves++
-		r.withdraw(w)
-		r.send(w)
+	if w.entry.table.ShouldMove(s.now, "s", w.target.id, draw) {
+		s.out.Moves++
+		s.withdraw(w)
+		s.send(w)
 		return
 	}
-	r.after(moveCheckInterval, func() { r.checkMove(w, placement) })
+	s.after(moveCheckInterval, func() { s.checkMove(w, placement) })
 }
--- a/bench/load/replay.go
+++ b/bench/load/simulation.go
@@ -29,8 +29,8 @@
 	cycleTime            = 6 * time.Second
 )
 
-// replay is the state of one simulation.
-type replay struct {
+// simulation holds the state of one call of Run.
+type simulation struct {
 	timeline
 	scenario    Scenario
 	policy      Policy
@@ -129,129 +129,129 @@
 // Run simulates a scenario under a policy. The same seed gives the same arrivals under
 // every policy.
 func Run(scenario Scenario, policy Policy, seed uint64) Outcome {
-	r := &replay{
+	s := &simulation{
 		scenario: scenario, policy: policy, byID: make(map[string]*target),
 		choiceRand: rand.New(rand.NewPCG(seed, 1)), arrivalRand: rand.New(rand.NewPCG(seed, 2)), itemRand: rand.New(rand.NewPCG(seed, 3)),
 		out: Outcome{Scenario: scenario.Name, Policy: policy.Name, Batch: scenario.ItemRate > 0},
 	}
-	r.start = time.Unix(1000, 0)
-	r.now = r.start
-	r.setUp()
-	r.arriveRequest()
+	s.start = time.Unix(1000, 0)
+	s.now = s.start
+	s.setUp()
+	s.arriveRequest()
 	if scenario.ItemRate > 0 {
-		r.arriveItem()
+		s.arriveItem()
 	}
-	r.runUntil(r.start.Add(scenario.Duration))
-	r.summarise()
-	return r.out
+	s.runUntil(s.start.Add(scenario.Duration))
+	s.summarise()
+	return s.out
 }
 
-func (r *replay) setUp() {
+func (s *simulation) setUp() {
 	var all []targets.Instance
-	for i := range r.scenario.Targets {
+	for i := range s.scenario.Targets {
 		t := &target{
-			id: fmt.Sprint("i", i), slow: r.scenario.MixedSpeeds && i%3 == 0,
-			arbiter: seats.NewArbiter(r.scenario.Slots, seats.ReservedSlots(fmt.Sprint("host", i))), workBySeat: make(map[uint64]*work),
+			id: fmt.Sprint("i", i), slow: s.scenario.MixedSpeeds && i%3 == 0,
+			arbiter: seats.NewArbiter(s.scenario.Slots, seats.ReservedSlots(fmt.Sprint("host", i))), workBySeat: make(map[uint64]*work),
 		}
-		r.targets = append(r.targets, t)
-		r.byID[t.id] = t
-		all = append(all, targets.Instance{ID: t.id, Service: "s", Slots: r.scenario.Slots})
-		if !r.policy.NoLoadReports && !r.policy.NaiveForwarding {
-			r.after(time.Duration(i)*time.Millisecond/2, func() { r.report(t) })
+		s.targets = append(s.targets, t)
+		s.byID[t.id] = t
+		all = append(all, targets.Instance{ID: t.id, Service: "s", Slots: s.scenario.Slots})
+		if !s.policy.NoLoadReports && !s.policy.NaiveForwarding {
+			s.after(time.Duration(i)*time.Millisecond/2, func() { s.report(t) })
 		}
 	}
 	ids := make([]string, 0, len(all))
 	for _, in := range all {
 		ids = append(ids, in.ID)
 	}
-	for e := range r.scenario.Entries {
+	for e := range s.scenario.Entries {
 		en := &entry{table: balance.NewTable(uint64(e)), conns: make(map[string]*connCount), ownRequests: make(map[string]int)}
 		en.table.Replace(all)
-		r.entries = append(r.entries, en)
-		r.subscribe(en, ids)
-		if !r.policy.NaiveForwarding {
-			r.after(time.Duration(e)*time.Millisecond, func() { r.dispatch(en) })
+		s.entries = append(s.entries, en)
+		s.subscribe(en, ids)
+		if !s.policy.NaiveForwarding {
+			s.after(time.Duration(e)*time.Millisecond, func() { s.dispatch(en) })
 		}
 	}
 }
 
 // subscribe adds an entry to the listeners of the targets that it watches.
-func (r *replay) subscribe(e *entry, ids []string) {
-	if r.policy.MaxWatched > 0 {
-		ids = routing.Top(ids, routing.Score(fmt.Sprint("entry", len(r.entries)), 1), r.policy.MaxWatched)
+func (s *simulation) subscribe(e *entry, ids []string) {
+	if s.policy.MaxWatched > 0 {
+		ids = routing.Top(ids, routing.Score(fmt.Sprint("entry", len(s.entries)), 1), s.policy.MaxWatched)
 	}
 	for _, id := range ids {
-		t := r.byID[id]
+		t := s.byID[id]
 		t.listeners = append(t.listeners, &listener{entry: e})
 	}
 }
 
 // report polls a target's load, recalls seats for waiting requests and sends the load to
 // the listeners. It then schedules the next poll.
-func (r *replay) report(t *target) {
+func (s *simulation) report(t *target) {
 	load := seats.Load{Active: t.active, Queued: len(t.queue)}
-	for _, id := range t.arbiter.Report(r.now, load) {
+	for _, id := range t.arbiter.Report(s.now, load) {
 		w := t.workBySeat[id]
-		r.after(networkDelay, func() { r.yield(w, id) })
+		s.after(networkDelay, func() { s.yield(w, id) })
 	}
 	rep := balance.Report{
-		Active: load.Active, Queued: load.Queued, Batch: t.arbiter.Held(), Slots: r.scenario.Slots,
-		FreeSeats: max(t.arbiter.FreeSeats(r.now), 0), UrgentSeats: max(t.arbiter.UrgentSeats(r.now), 0),
+		Active: load.Active, Queued: load.Queued, Batch: t.arbiter.Held(), Slots: s.scenario.Slots,
+		FreeSeats: max(t.arbiter.FreeSeats(s.now), 0), UrgentSeats: max(t.arbiter.UrgentSeats(s.now), 0),
 	}
 	for _, l := range t.listeners {
-		r.sendReport(t, l, rep)
+		s.sendReport(t, l, rep)
 	}
-	r.after(pollInterval+time.Duration(r.choiceRand.IntN(12))*time.Millisecond, func() { r.report(t) })
+	s.after(pollInterval+time.Duration(s.choiceRand.IntN(12))*time.Millisecond, func() { s.report(t) })
 }
 
 // sendReport sends a load to a listener if it has changed or the last report is at least
 // reportRepeatInterval old.
-func (r *replay) sendReport(t *target, l *listener, rep balance.Report) {
-	since := r.now.Sub(l.sentAt)
-	if since < r.policy.MinReportInterval || rep == l.lastReport && since < reportRepeatInterval {
+func (s *simulation) sendReport(t *target, l *listener, rep balance.Report) {
+	since := s.now.Sub(l.sentAt)
+	if since < s.policy.MinReportInterval || rep == l.lastReport && since < reportRepeatInterval {
 		return
 	}
-	l.lastReport, l.sentAt = rep, r.now
-	r.out.LoadReports++
-	r.after(networkDelay+time.Duration(r.choiceRand.IntN(8))*time.Millisecond, func() { l.entry.table.UpdateLoad(r.now, t.id, rep) })
+	l.lastReport, l.sentAt = rep, s.now
+	s.out.LoadReports++
+	s.after(networkDelay+time.Duration(s.choiceRand.IntN(8))*time.Millisecond, func() { l.entry.table.UpdateLoad(s.now, t.id, rep) })
 }
 
-func (r *replay) arriveRequest() {
-	rate := r.scenario.TroughRate
-	if r.now.Sub(r.start)%cycleTime > troughTime {
-		rate = r.scenario.PeakRate
+func (s *simulation) arriveRequest() {
+	rate := s.scenario.TroughRate
+	if s.now.Sub(s.start)%cycleTime > troughTime {
+		rate = s.scenario.PeakRate
 	}
-	w := &work{entry: r.entries[r.arrivalRand.IntN(len(r.entries))], arrived: r.now}
-	next := time.Duration(r.arrivalRand.ExpFloat64() / rate * float64(time.Second))
-	r.out.Requests++
-	r.send(w)
-	r.after(next, r.arriveRequest)
+	w := &work{entry: s.entries[s.arrivalRand.IntN(len(s.entries))], arrived: s.now}
+	next := time.Duration(s.arrivalRand.ExpFloat64() / rate * float64(time.Second))
+	s.out.Requests++
+	s.send(w)
+	s.after(next, s.arriveRequest)
 }
 
-func (r *replay) arriveItem() {
+func (s *simulation) arriveItem() {
 	w := &work{
-		entry: r.entries[r.itemRand.IntN(len(r.entries))], batch: true, arrived: r.now,
-		due: r.now.Add(r.scenario.DueWithin), remaining: r.scenario.RunTime,
+		entry: s.entries[s.itemRand.IntN(len(s.entries))], batch: true, arrived: s.now,
+		due: s.now.Add(s.scenario.DueWithin), remaining: s.scenario.RunTime,
 	}
-	next := time.Duration(r.itemRand.ExpFloat64() / r.scenario.ItemRate * float64(time.Second))
-	if w.due.Before(r.start.Add(r.scenario.Duration)) {
-		r.out.Items++
+	next := time.Duration(s.itemRand.ExpFloat64() / s.scenario.ItemRate * float64(time.Second))
+	if w.due.Before(s.start.Add(s.scenario.Duration)) {
+		s.out.Items++
 	}
-	if r.policy.NaiveForwarding {
-		r.send(w)
+	if s.policy.NaiveForwarding {
+		s.send(w)
 	} else {
 		w.entry.batch = append(w.entry.batch, w)
 	}
-	r.after(next, r.arriveItem)
+	s.after(next, s.arriveItem)
 }
 
 // submit sends work to its target's queue over a connection. Work with a reservation
 // goes to the front.
-func (r *replay) submit(w *work) {
+func (s *simulation) submit(w *work) {
 	w.entry.ownRequests[w.target.id]++
-	r.connect(w)
+	s.connect(w)
 	placement := w.placement
-	r.after(networkDelay, func() {
+	s.after(networkDelay, func() {
 		if w.placement != placement {
 			return
 		}
@@ -262,108 +262,108 @@
 		} else {
 			w.target.queue = append(w.target.queue, w)
 		}
-		r.admit(w.target)
+		s.admit(w.target)
 	})
 }
 
-func (r *replay) connect(w *work) {
+func (s *simulation) connect(w *work) {
 	c := w.entry.conns[w.target.id]
 	if c == nil {
 		c = &connCount{}
 		w.entry.conns[w.target.id] = c
 	}
-	if r.now.Sub(c.lastUsed) > connIdleTimeout {
+	if s.now.Sub(c.lastUsed) > connIdleTimeout {
 		c.open = c.busy
 	}
 	c.busy++
 	if c.busy > c.open {
 		c.open = c.busy
-		r.out.ConnsOpened++
+		s.out.ConnsOpened++
 	}
 }
 
 // release removes work from the entry's counts for its target. The connection is closed
 // if the run did not complete.
-func (r *replay) release(w *work, completed bool) {
+func (s *simulation) release(w *work, completed bool) {
 	c := w.entry.conns[w.target.id]
 	c.busy--
-	c.lastUsed = r.now
+	c.lastUsed = s.now
 	if !completed {
 		c.open--
 	}
 	w.entry.ownRequests[w.target.id]--
-	if w.batch && !r.policy.NaiveForwarding {
-		w.entry.table.BatchEnded(r.now, w.target.id, completed)
+	if w.batch && !s.policy.NaiveForwarding {
+		w.entry.table.BatchEnded(s.now, w.target.id, completed)
 		return
 	}
-	w.entry.table.OnlineEnded(r.now, w.target.id, completed && !r.policy.IgnoreIdleConns)
+	w.entry.table.OnlineEnded(s.now, w.target.id, completed && !s.policy.IgnoreIdleConns)
 }
 
 // admit starts queued work in order while the target has free slots.
-func (r *replay) admit(t *target) {
-	for t.active+t.reservedSlots < r.scenario.Slots && len(t.queue) > 0 {
+func (s *simulation) admit(t *target) {
+	for t.active+t.reservedSlots < s.scenario.Slots && len(t.queue) > 0 {
 		w := t.queue[0]
 		t.queue = t.queue[1:]
 		t.active++
-		w.running, w.started = true, r.now
-		placement, hold, first := w.placement, r.scenario.HoldTime, firstEventDelay
+		w.running, w.started = true, s.now
+		placement, hold, first := w.placement, s.scenario.HoldTime, firstEventDelay
 		if w.batch {
 			hold = w.remaining
 		}
 		hold, first = t.slowed(hold), t.slowed(first)
-		r.after(first, func() { r.recordFirstEvent(w, placement) })
-		r.after(hold, func() { r.finish(w, placement) })
+		s.after(first, func() { s.recordFirstEvent(w, placement) })
+		s.after(hold, func() { s.finish(w, placement) })
 	}
 }
 
-func (r *replay) recordFirstEvent(w *work, placement int) {
+func (s *simulation) recordFirstEvent(w *work, placement int) {
 	if w.placement == placement && !w.batch {
 		w.gotFirstEvent = true
-		took := r.now.Sub(w.arrived)
-		r.out.FirstEventTimes = append(r.out.FirstEventTimes, took)
+		took := s.now.Sub(w.arrived)
+		s.out.FirstEventTimes = append(s.out.FirstEventTimes, took)
 		if w.retried && took <= lateAfter {
-			r.out.RetriedInTime++
+			s.out.RetriedInTime++
 		}
 	}
 }
 
-func (r *replay) finish(w *work, placement int) {
+func (s *simulation) finish(w *work, placement int) {
 	if w.placement != placement {
 		return
 	}
 	t := w.target
 	t.active--
-	r.slotTime += r.now.Sub(w.started)
+	s.slotTime += s.now.Sub(w.started)
 	if !w.batch {
-		w.entry.table.ObserveHoldTime("s", r.now.Sub(w.started))
+		w.entry.table.ObserveHoldTime("s", s.now.Sub(w.started))
 	}
-	r.release(w, true)
+	s.release(w, true)
 	if w.batch {
 		t.releaseSeat(w)
-		if !r.now.After(w.due) && w.due.Before(r.start.Add(r.scenario.Duration)) {
-			r.out.InTime++
+		if !s.now.After(w.due) && w.due.Before(s.start.Add(s.scenario.Duration)) {
+			s.out.InTime++
 		}
 	}
 	w.placement++
-	r.admit(t)
+	s.admit(t)
 }
 
 // withdraw removes work from its target before it completes.
-func (r *replay) withdraw(w *work) {
+func (s *simulation) withdraw(w *work) {
 	t := w.target
 	w.placement++
 	if w.running {
 		w.running = false
 		t.active--
-		r.slotTime += r.now.Sub(w.started)
+		s.slotTime += s.now.Sub(w.started)
 	}
 	t.queue = slices.DeleteFunc(t.queue, func(other *work) bool { return other == w })
-	r.release(w, false)
-	r.after(networkDelay, func() { r.admit(t) })
+	s.release(w, false)
+	s.after(networkDelay, func() { s.admit(t) })
 }
 
-func (r *replay) summarise() {
-	o := &r.out
+func (s *simulation) summarise() {
+	o := &s.out
 	slices.Sort(o.FirstEventTimes)
 	for _, d := range o.FirstEventTimes {
 		if d > lateAfter {
@@ -374,6 +374,6 @@
 		const half, hundredth = 2, 100
 		o.P50, o.P99 = o.FirstEventTimes[n/half], o.FirstEventTimes[n-1-n/hundredth]
 	}
-	slots := float64(r.scenario.Targets*r.scenario.Slots) * r.scenario.Duration.Seconds()
-	o.SlotUse = r.slotTime.Seconds() / slots
+	slots := float64(s.scenario.Targets*s.scenario.Slots) * s.scenario.Duration.Seconds()
+	o.SlotUse = s.slotTime.Seconds() / slots
 }
--- a/bench/path.go
+++ b/bench/path.go
@@ -16,7 +16,8 @@
 	"pumiceford/standin"
 )
 
-// PathLine is the latency of one-token requests over one path.
+// PathLine is the latency of one-token requests over one path. Its name is a value in the
+// JSON output of pumice-bench.
 type PathLine struct {
 	Name                string  `json:"name"`
 	P50Ms               float64 `json:"p50_ms"`
@@ -65,7 +66,7 @@
 	}
 	direct := func() error { return requestEngine(ctx, eng) }
 	viaEntry := func() error { return p.request(ctx, 1) }
-	runs := []*pathRun{{name: "engine, direct", call: direct}, {name: "engine, direct (repeated)", call: direct}, {name: "through entry and agent", call: viaEntry}}
+	runs := []*pathRun{{name: "engine directly", call: direct}, {name: "engine directly, again", call: direct}, {name: "entry and agent", call: viaEntry}}
 	for range pathRounds {
 		for _, r := range runs {
 			if err := r.runRound(); err != nil {
@@ -128,7 +129,7 @@
 					failed = err
 					return
 				}
-				// The request deadline of one minute is within the range.
+				// RecordValue fails above one minute, which no request here exceeds.
 				_ = hist.RecordValue(int64(took))
 			})
 		}
--- a/cmd/pumice-bench/main.go
+++ b/cmd/pumice-bench/main.go
@@ -59,11 +59,11 @@
 
 func runLoad(cmd *loadCmd) error {
 	var all []load.Outcome
-	for _, shape := range []load.Scenario{load.Fleet9, load.Fleet18, load.Fleet56, load.Fleet180} {
+	for _, scenario := range []load.Scenario{load.Fleet9, load.Fleet18, load.Fleet56, load.Fleet180} {
 		for _, policy := range []load.Policy{load.RefuseLate, load.PartialReports, load.AllReports, load.NoReports, load.NaiveForwarder} {
-			all = append(all, load.Run(shape, policy, cmd.Seed))
+			all = append(all, load.Run(scenario, policy, cmd.Seed))
 		}
-		noBatch := shape
+		noBatch := scenario
 		noBatch.ItemRate = 0
 		all = append(all, load.Run(noBatch, load.AllReports, cmd.Seed))
 	}
