--- a/dev/check.go
+++ b/dev/check.go
@@ -91,10 +91,10 @@
 			return "", err
 		}
 		if got.String() != standin.AnswerText(prompt, tokens) {
-			return "", checkFailed("online", "answer through entry %d differs from the engine's", n)
+			return "", checkFailed("online", "response through entry %d differs from the engine's", n)
 		}
 	}
-	return fmt.Sprintf("complete answer of %d tokens in %d chunks through each of %d entries", tokens, chunks, len(f.CallerURLs)), nil
+	return fmt.Sprintf("complete response of %d tokens in %d chunks through each of %d entries", tokens, chunks, len(f.CallerURLs)), nil
 }
 
 // Sizes of the jobs that Check submits.
--- a/dev/openai_test.go
+++ b/dev/openai_test.go
@@ -242,7 +242,7 @@
 }
 
 // A file with the maximum number of items is accepted and read back completely, and a
-// file with one item more is refused.
+// file with one item more is refused before any of it is stored.
 func TestLargestJobIsAccepted(t *testing.T) {
 	f, ctx := startFleet(t)
 	c, err := f.caller(0)
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -102,10 +102,10 @@
 	return b
 }
 
-// A streamed answer and a job complete across separate processes.
+// A streamed response and a job complete across separate processes.
 func TestOnlineAndBatch(t *testing.T) {
 	f := newFleet(t)
-	f.waitFor("online answer", func(ctx context.Context) error {
+	f.waitFor("online response", func(ctx context.Context) error {
 		got, err := stream(ctx, f.caller(0), "lace stock", 40)
 		if err != nil {
 			return err
@@ -119,8 +119,8 @@
 	checkJob(t, f.caller(1), b, "path", 200, 8)
 }
 
-// Guards against interrupted answers and missing items after a target host dies. An
-// agent is killed while it streams an answer and holds granted batch items. The failure
+// Guards against interrupted responses and missing items after a target host dies. An
+// agent is killed while it streams a response and holds granted batch items. The failure
 // occurs if the entry gives up when the connection breaks instead of resuming on another
 // target, or if the owner does not reclaim the lost items.
 func TestKilledAgentLosesNoWork(t *testing.T) {
@@ -128,7 +128,7 @@
 	c := f.caller(0)
 	b := submit(t, f, c, "killed", 600, 16)
 	const tokens = 400
-	answers := make(chan error, 3)
+	responses := make(chan error, 3)
 	var started [3]chan struct{}
 	for n := range 3 {
 		started[n] = make(chan struct{}, tokens+1)
@@ -140,9 +140,9 @@
 				started[n] <- struct{}{}
 			})
 			if err == nil && got.String() != standin.AnswerText(p, tokens) {
-				err = fmt.Errorf("answer %d differs from the engine's", n)
+				err = fmt.Errorf("response %d differs from the engine's", n)
 			}
-			answers <- err
+			responses <- err
 		}()
 	}
 	for n := range 3 {
@@ -150,7 +150,7 @@
 	}
 	f.kill("agent-1")
 	for range 3 {
-		if err := <-answers; err != nil {
+		if err := <-responses; err != nil {
 			t.Error(err)
 		}
 	}
@@ -206,8 +206,8 @@
 	checkJob(t, c, b, "frozen", 600, 16)
 }
 
-// Guards against answers that are cut off, and processes that exit with an error, on a
-// planned stop. Two agents and then an entry get SIGTERM while an answer is in progress.
+// Guards against responses that are cut off, and processes that exit with an error, on a
+// planned stop. Two agents and then an entry get SIGTERM while a response is in progress.
 // The failure occurs if a process exits before its requests complete.
 func TestGracefulStopCompletesRequests(t *testing.T) {
 	f := newFleet(t)
@@ -222,7 +222,7 @@
 				first <- struct{}{}
 			})
 			if err == nil && got.String() != standin.AnswerText(name, tokens) {
-				err = fmt.Errorf("answer differs from the engine's")
+				err = fmt.Errorf("response differs from the engine's")
 			}
 			done <- err
 		}()
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -174,7 +174,7 @@
 func (f *fleet) signal(name string, sig syscall.Signal) {
 	f.t.Helper()
 	if err := f.procs[name].Process.Signal(sig); err != nil {
-		f.t.Fatalf("%s: %v", name, err)
+		f.t.Fatalf("send signal to %s: %v", name, err)
 	}
 }
 
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -142,16 +142,16 @@
 var words = strings.Fields("renewal rating medical logbook hours night cross country instrument check " +
 	"valid expiry form clerk counter school seam hem lace bodice pin fitting gown stock slot sleeve train veil")
 
-// TokenText returns the text of token n of the answer to a prompt. It depends only
-// on the prompt and n, so tests can compare answers byte by byte and a resumed
-// answer continues the interrupted one.
+// TokenText returns the text of token n of the response to a prompt. It depends only
+// on the prompt and n, so tests can compare responses byte by byte and a resumed
+// response continues the interrupted one.
 func TokenText(prompt string, n uint32) string {
 	h := xxhash.Sum64String(prompt) + uint64(n)*0x9e3779b97f4a7c15
 	h ^= h >> 29
 	return words[h%uint64(len(words))] + strconv.Itoa(int(n)) + " "
 }
 
-// AnswerText returns the complete answer to a prompt for a number of tokens.
+// AnswerText returns the text of the complete response to a prompt, tokens long.
 func AnswerText(prompt string, tokens uint32) string {
 	var b strings.Builder
 	for n := uint32(0); n < tokens; n++ {
@@ -268,7 +268,7 @@
 }
 
 // prefill returns how many tokens must be computed for a sequence: those of its
-// prompt that are not cached and those already delivered elsewhere.
+// prompt that are not cached and those that an earlier attempt has delivered.
 func (e *Engine) prefill(s *sequence) int {
 	s.needsPrefill = false
 	hit := min(e.cache.lookup(s.req.Model, s.req.Prompt)*KVBlockTokens, s.promptTokens)
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -56,7 +56,7 @@
 			t.Fatalf("the second request waited %s, want at least 200 ms", waited)
 		}
 		if got, err := read(first); err != nil || got != AnswerText("a", 100) {
-			t.Fatalf("first answer: got %q, error %v", got, err)
+			t.Fatalf("first response: got %q, error %v", got, err)
 		}
 	})
 }
@@ -88,7 +88,7 @@
 		}
 		tail, err := read(rest)
 		if err != nil || head+tail != AnswerText(prompt, 50) {
-			t.Fatalf("answer of both engines: got %q, error %v", head+tail, err)
+			t.Fatalf("response of both engines: got %q, error %v", head+tail, err)
 		}
 		if p := other.Stats().Prefilled; p != 0 {
 			t.Fatalf("%d prompt tokens were computed again, want none", p)
--- a/standin/hosts.go
+++ b/standin/hosts.go
@@ -111,7 +111,7 @@
 	calls map[string]int // number of calls by body
 }
 
-// Do answers one call after Delay. The reply names the method and the path.
+// Do responds to one call after Delay. The response names the method and the path.
 func (s *Service) Do(ctx context.Context, method, path string, body []byte) (int, string, []byte, error) {
 	s.mu.Lock()
 	if s.calls == nil {
--- a/standin/http.go
+++ b/standin/http.go
@@ -214,7 +214,7 @@
 	s.serve(ctx, c, r.RequestID, st)
 }
 
-// importKV continues an exported request and streams the rest of its answer.
+// importKV continues an exported request and streams the rest of its response.
 func (s *engineServer) importKV(ctx context.Context, c *app.RequestContext) {
 	var kv KV
 	if json.Unmarshal(c.Request.Body(), &kv) != nil {
--- a/standin/prefix.go
+++ b/standin/prefix.go
@@ -14,8 +14,8 @@
 	onChange func(prefix uint64, stored bool)
 }
 
-func newPrefixCache(limit int, note func(prefix uint64, stored bool)) *prefixCache {
-	return &prefixCache{limit: limit, onChange: note, lru: list.New(), blocks: make(map[uint64]*list.Element)}
+func newPrefixCache(limit int, onChange func(prefix uint64, stored bool)) *prefixCache {
+	return &prefixCache{limit: limit, onChange: onChange, lru: list.New(), blocks: make(map[uint64]*list.Element)}
 }
 
 // lookup returns how many leading blocks of the prompt were cached, and then caches
--- a/standin/sharedstore/sharedstore.go
+++ b/standin/sharedstore/sharedstore.go
@@ -72,14 +72,14 @@
 	topics         []string
 	members        map[string]time.Time // when each membership expires
 	owners         map[store.Partition]string
-	holders        map[store.Partition]string // last member that was told it owns the partition
+	holders        map[store.Partition]string // member whose join last returned the partition
 	seenGeneration map[string]uint64          // generation in each member's latest join
 }
 
-// New returns an empty Store with parts partitions in each topic.
-func New(parts int) *Store {
+// New returns an empty Store with the given number of partitions in each topic.
+func New(partitions int) *Store {
 	return &Store{
-		partitions: parts, logs: make(map[store.Partition]*log), hostFaults: make(map[string]Fault),
+		partitions: partitions, logs: make(map[store.Partition]*log), hostFaults: make(map[string]Fault),
 		partitionFaults: make(map[store.Partition]Fault), groups: make(map[string]*group), changed: make(chan struct{}),
 	}
 }
