--- a/cmd/pumice/quarantine.go
+++ b/cmd/pumice/quarantine.go
@@ -24,7 +24,7 @@
 	JSON    bool   `arg:"--json"`
 }
 
-// errMetricsAddress is returned when a process answers at its metrics address with an error
+// errMetricsAddress is returned when a process responds at its metrics address with an error
 // status.
 var errMetricsAddress = errors.New("error response from the process's metrics address")
 
--- a/httpx/httpx.go
+++ b/httpx/httpx.go
@@ -47,8 +47,8 @@
 	return server.New(append(all, opts...)...)
 }
 
-// Serve runs h until ctx ends. It does not wait for requests in flight; whoever must finish
-// them does so before ending ctx.
+// Serve runs h until ctx ends. It does not wait for requests in flight; a caller that must
+// finish them does so before it ends ctx.
 func Serve(ctx context.Context, h *server.Hertz) error {
 	stop := context.AfterFunc(ctx, func() {
 		shutdownCtx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -64,7 +64,7 @@
 	Fetch(ctx context.Context, model, version string) (int64, error)
 }
 
-// ErrUnavailable is returned when a platform service does not answer. Whether the call took
+// ErrUnavailable is returned when a platform service does not respond. Whether the call took
 // effect is unknown.
 var ErrUnavailable = errors.New("platform service unavailable")
 
--- a/losses/losses.go
+++ b/losses/losses.go
@@ -25,13 +25,13 @@
 	UnknownKey         Cause = "unknown key"                // no workspace has its key
 	KeyUnconfirmed     Cause = "key not confirmed"          // the host could not confirm that its key is still valid
 	OverLimit          Cause = "over its limit"             // its workspace exceeded its rate limit
-	LimitUnknown       Cause = "no word of its limit"       // no process answered for its workspace's rate limit
+	LimitUnknown       Cause = "no word of its limit"       // no process replied with its workspace's rate limit
 	Overload           Cause = "refused for load"           // its estimated wait was too long
 	ResponseLost       Cause = "answer lost"                // it may have been executed and must not be retried
 	DeadlineExceeded   Cause = "time over"                  // its deadline passed while it waited
 	TargetUnreachable  Cause = "target gone"                // it was retried: a target was unreachable or its connection broke
-	TargetUnresponsive Cause = "target silent"              // it was retried: a target did not answer
-	TargetFailed       Cause = "target failed"              // it was retried: a target answered with an error
+	TargetUnresponsive Cause = "target silent"              // it was retried: a target did not respond
+	TargetFailed       Cause = "target failed"              // it was retried: a target responded with an error
 	WrongInstance      Cause = "target was another one"     // it was retried: the registration of the target was stale
 	TargetFull         Cause = "target full"                // it was retried: a target was full
 	WaitedForSlot      Cause = "waited for a slot"          // all slots of its target were taken
--- a/losses/losses_test.go
+++ b/losses/losses_test.go
@@ -65,7 +65,7 @@
 			got = r.Losses[0].Cause
 		}
 		if got != c.want || r.Requests != 1 || len(r.Losses) > 1 {
-			t.Errorf("%v: %q, want %q", c.lines, got, c.want)
+			t.Errorf("%v: got cause %q, want %q", c.lines, got, c.want)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 			got = r.Losses[0].Cause
 		}
 		if got != c.want || r.Items != 1 {
-			t.Errorf("%v: %q, want %q", c.lines, got, c.want)
+			t.Errorf("%v: got cause %q, want %q", c.lines, got, c.want)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 	}
 	var out strings.Builder
 	if err := r.Write(&out); err != nil || !strings.Contains(out.String(), "job refused") {
-		t.Fatalf("%s %v", out.String(), err)
+		t.Fatalf("table without the refused job:\n%s\nerror %v", out.String(), err)
 	}
 	if err := r.Plot(filepath.Join(t.TempDir(), "p.svg")); err != nil {
 		t.Fatal(err)
